--- a/pulleydeal/decisions.py
+++ b/pulleydeal/decisions.py
@@ -1,9 +1,10 @@
 """The decision log: one structured line for each start, stop, clear, end, binding and answer.
 
-A line says who decided (node, incarnation, epoch), on what knowledge (the state service's revision
-and how old it was, the machine's session and report), with which token it was sent, how long it
-waited in a queue, and why it was allowed or refused. `run.py timeline` merges the lines of all
-nodes. They are written at level `info`; answers to polls at `debug`, as users poll every 5 s.
+A line names who decided (node, incarnation, epoch), on what state (revision and age of the
+replica, session and report of the machine), the fencing token that was sent, the time spent
+waiting, and why the action was allowed or refused. `run.py timeline` merges the lines of all
+nodes. Lines have level `info`, except answers to polls, which have `debug` because users poll
+every 5 s.
 """
 
 import logging
@@ -27,15 +28,18 @@
     START = "start"
     STOP = "stop"
     CLEAR = "clear"
-    END = "end"  # of an attempt: about to be made durable
-    BIND = "bind"  # credit spent, durably
-    ANSWER = "answer"  # to a user; `task` is the job then
-    LEAD = "lead"  # a new view, and whether this node acts in it
+    END = "end"  # an attempt's end that is about to be made durable
+    BIND = "bind"  # a task was durably bound to a machine
+    ANSWER = "answer"  # an answer to a user; `task` names the job
+    LEAD = "lead"  # a new view, and whether this node is a member of it
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """`task`: `JOB/INDEX`, or a job. `token`, `session`, `seq`: zero where nothing is commanded."""
+    """One decision, with its context.
+
+    `task` is `JOB/INDEX` or a job id. `token`, `session` and `seq` are zero if no command is sent.
+    """
 
     action: Action
     why: str
@@ -44,7 +48,7 @@
     machine: str = "-"
     token: int = 0
     session: int = 0
-    seq: int = 0  # of the machine's newest report that is known
+    seq: int = 0  # sequence number of the newest known report of the machine
     waited_s: float = 0.0
     allowed: bool = True
 
@@ -56,7 +60,7 @@
         self._membership = membership
         self._store = store
         self._clock = clock
-        # Found once each: looking a counter up by its labels costs more than counting.
+        # Looked up once: resolving labels costs more than counting.
         self._counters = {
             (action, allowed): metrics.decisions.labels(action.value, verdict)
             for action in Action
--- a/pulleydeal/timeline.py
+++ b/pulleydeal/timeline.py
@@ -1,6 +1,7 @@
-"""Merges the decision logs of all nodes into the life of one task, and finds overlapping attempts.
+"""Merges the decision logs of all nodes into one task's timeline and finds overlapping attempts.
 
-`run.py timeline TASK LOG...`; the lines are those of `pulleydeal/decisions.py`, as text or JSON.
+Usage: `run.py timeline TASK LOG...`. Reads the lines that `pulleydeal/decisions.py` writes, as
+text or JSON.
 """
 
 import re
@@ -9,12 +10,12 @@
 from pathlib import Path
 
 LINE = re.compile(r"decision (?P<action>\w+) (?P<verdict>\w+) (?P<fields>task=.*?) why=(?P<why>.*)")
-# In an object of LOG_FORMAT=json the message ends where its string ends.
+# With LOG_FORMAT=json the message ends where its JSON string ends.
 JSON_END = re.compile(r'", "|"}$')
 
 
 class TimelineError(Exception):
-    """A log can't be read; the text is one clear line."""
+    """A log can't be read or has no decision about the task; the text is a one-line message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overlap:
-    """The later attempt was started before the earlier one had ended, by the logs."""
+    """Two attempts of a task of which the later started before the earlier ended, by the logs."""
 
     earlier: Entry
     later: Entry
@@ -50,7 +51,7 @@
 
 
 def parse(line: str) -> Entry | None:
-    """The decision that a line of a log holds, if it holds one."""
+    """Parses a line of a log; returns None if it holds no decision."""
     found = LINE.search(line)
     if found is None:
         return None
@@ -71,13 +72,13 @@
             why.strip(),
         )
     except (KeyError, ValueError):
-        return None  # cut short, as the last line of a node that was killed may be
+        return None  # truncated, as the last line of a killed node's log may be
 
 
 def life(task: str, lines: Iterable[str]) -> list[Entry]:
-    """The decisions about a task and its job, by the nodes' clocks.
+    """The decisions about a task and its job, sorted by the wall clocks of the nodes.
 
-    Lines that don't name the job are not parsed: a log has millions.
+    Lines that don't name the job are not parsed, because logs have millions of lines.
     """
     job = task.partition("/")[0]
     found = (parse(line) for line in lines if job in line)
@@ -88,10 +89,10 @@
 
 
 def overlaps(entries: list[Entry]) -> list[Overlap]:
-    """Starts that were allowed while another machine had an attempt that had not ended.
+    """Finds starts that were allowed while another attempt of the task had not ended.
 
-    An attempt ends with what its machine reported. One that was taken for absent, and is started
-    later all the same, overlaps with the attempt that was started in its place.
+    An attempt ends when its end is logged. If an attempt was concluded to be absent but is started
+    later, that start overlaps with the attempt started in its place.
     """
     running: dict[int, Entry] = {}
     found = []
@@ -109,7 +110,7 @@
 
 
 def read(paths: list[Path]) -> Iterable[str]:
-    """The lines of several logs. Raises TimelineError."""
+    """Yields the lines of several logs. Raises TimelineError."""
     for path in paths:
         try:
             with path.open(errors="replace") as file:
@@ -119,7 +120,7 @@
 
 
 def report(task: str, paths: list[Path]) -> tuple[list[str], bool]:
-    """Lines to print, and whether attempts overlap. Raises TimelineError."""
+    """Returns the lines to print and whether attempts overlap. Raises TimelineError."""
     entries = life(task, read(paths))
     if not entries:
         raise TimelineError(f"no decision about {task} in these logs")
