--- a/pulleydeal/credits/__init__.py
+++ b/pulleydeal/credits/__init__.py
@@ -1,1 +1,1 @@
-"""Credit queues: free room signalled by machines, spent once by their one owner."""
+"""Credit queues: each controller hands out the free capacity of the machines that it owns."""
--- a/pulleydeal/credits/asks.py
+++ b/pulleydeal/credits/asks.py
@@ -1,11 +1,11 @@
-"""What a leader asks an owner for: a task's need, its turn, and where it may run."""
+"""Builds the credit requests that leaders of jobs send to owners of machines."""
 
-from pulleydeal.credits.messages import Ask, Need
-from pulleydeal.rules import Turn
+from pulleydeal.credits.messages import CreditRequest, Need
+from pulleydeal.rules import QueueRank
 from pulleydeal.store import records as r
 
 
-def need_of(spec: r.JobSpec) -> Need:
+def resources_needed(spec: r.JobSpec) -> Need:
     return Need(spec.cpus, spec.gpus, spec.memory)
 
 
@@ -14,18 +14,18 @@
     index: int,
     epoch: int,
     guaranteed: bool,
-    turn: Turn,
+    rank: QueueRank,
     zones: list[str],
     avoid: list[str],
-) -> Ask:
-    return Ask(
+) -> CreditRequest:
+    return CreditRequest(
         epoch,
         spec.id,
         index,
-        need_of(spec),
+        resources_needed(spec),
         spec.priority,
         guaranteed,
-        *turn,
+        *rank,
         spec.kind == "gang",
         spec.spot,
         spec.team,
--- a/pulleydeal/credits/images.py
+++ b/pulleydeal/credits/images.py
@@ -1,4 +1,7 @@
-"""Which images the machines hold, as far as bindings tell; nodes that start anew are told."""
+"""Tracks which images each machine has cached, inferred from bindings.
+
+A node that restarts has seen no earlier bindings, so other members send it what they know.
+"""
 
 from collections.abc import Callable
 
@@ -11,8 +14,8 @@
 from pulleydeal.store.replica import Replica
 
 
-class ImagesHeld:
-    """Nothing but the choice among credits depends on it."""
+class ImageLocations:
+    """Images cached per machine; used only to choose among credits, never for correctness."""
 
     def __init__(
         self,
@@ -20,65 +23,69 @@
         siblings: Siblings,
         replica: Replica,
         clock: Clock,
-        changed: Callable[[str], None],
+        on_change: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._siblings = siblings
         self._replica = replica
         self._clock = clock
-        self._changed = changed  # called with a machine of which more was learned
-        self._held: Cached = {}
-        self._known: dict[str, str] = {}  # members of the last view, with incarnation
-        self._to_tell: dict[str, float] = {}  # members that started anew, and when to tell them
+        self._on_change = on_change  # called with a machine whose known images changed
+        self._images: Cached = {}
+        self._known_members: dict[str, str] = {}  # incarnations of the last view's members
+        self._sync_at: dict[str, float] = {}  # new or restarted member -> when to sync it
         siblings.on(IMAGES, self._on_images)
 
-    def of(self, machine: str) -> frozenset[str]:
-        return frozenset(self._held.get(machine, ()))
+    def cached_on(self, machine: str) -> frozenset[str]:
+        return frozenset(self._images.get(machine, ()))
 
-    def note(self, machine: str) -> None:
-        """Every binding tells every node which image its machine now has."""
-        images = self._held.setdefault(machine, {})
+    def record_bindings(self, machine: str) -> None:
+        """Records the images of all tasks that are bound to the machine, most recent last."""
+        images = self._images.setdefault(machine, {})
         for job_id, _ in self._replica.bound.get(machine, ()):
             spec = self._replica.jobs[job_id].spec
             if spec is not None:
                 images.pop(spec.image, None)
                 images[spec.image] = spec.image_gb
-        self._trim(machine)
+        self._evict(machine)
 
     def forget(self, machine: str) -> None:
-        self._held.pop(machine, None)
+        self._images.pop(machine, None)
 
-    def _trim(self, machine: str) -> None:
-        """A machine keeps the images used last, as many as its cache holds."""
-        images = self._held[machine]
+    def _evict(self, machine: str) -> None:
+        """Drops the least recently bound images beyond the cache size of the machine's type."""
+        images = self._images[machine]
         record = self._replica.machines.get(machine)
         type_ = self._replica.types.get(record.record.type) if record else None
         while type_ and len(images) > 1 and sum(images.values()) > type_.cache_gb:
             del images[next(iter(images))]
 
-    def greet(self) -> None:
-        """A node that starts anew has seen no bindings but those that stand: it will be told."""
+    def schedule_syncs(self) -> None:
+        """Schedules a sync to each member that started or restarted since the last view.
+
+        Such a member knows only the bindings that still exist. A node that is itself new in
+        this view sends nothing.
+        """
         members = dict(self._replica.view.members)
-        if self._known.get(self._membership.me) == members.get(self._membership.me):
+        if self._known_members.get(self._membership.me) == members.get(self._membership.me):
             at = self._clock.now() + c.TELL_IMAGES_S
             for name, incarnation in members.items():
-                if name != self._membership.me and self._known.get(name) != incarnation:
-                    self._to_tell[name] = at
-        self._known = members
+                if name != self._membership.me and self._known_members.get(name) != incarnation:
+                    self._sync_at[name] = at
+        self._known_members = members
 
-    def tell(self, now: float) -> None:
-        for name in [name for name, at in self._to_tell.items() if at <= now]:
-            del self._to_tell[name]
-            machines = list(self._held)
+    def send_due_syncs(self, now: float) -> None:
+        for name in [name for name, at in self._sync_at.items() if at <= now]:
+            del self._sync_at[name]
+            machines = list(self._images)
             for start in range(0, len(machines), c.TELL_AT_ONCE):
-                piece = {m: self._held[m] for m in machines[start : start + c.TELL_AT_ONCE]}
-                self._siblings.send(name, IMAGES, pack_cached(piece))
+                batch = {m: self._images[m] for m in machines[start : start + c.TELL_AT_ONCE]}
+                self._siblings.send(name, IMAGES, pack_cached(batch))
 
     def _on_images(self, _sender: str, payload: bytes) -> None:
         for machine, older in unpack_cached(payload).items():
             if machine in self._replica.machines:
-                # What was seen here is newer than what was seen before this node started.
-                newer = self._held.get(machine, {})
-                self._held[machine] = {k: v for k, v in older.items() if k not in newer} | newer
-                self._trim(machine)
-                self._changed(machine)
+                # Bindings seen by this node are more recent than those seen before it started.
+                newer = self._images.get(machine, {})
+                self._images[machine] = {k: v for k, v in older.items() if k not in newer} | newer
+                self._evict(machine)
+                self._on_change(machine)
--- a/pulleydeal/credits/making.py
+++ b/pulleydeal/credits/making.py
@@ -1,11 +1,11 @@
-"""What credit a machine has: its type's room less what is bound, held or still there."""
+"""Computes a machine's credit: its type's capacity less what is bound, held or still running."""
 
 from collections.abc import Callable, Iterable
 
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.asks import need_of
-from pulleydeal.credits.images import ImagesHeld
+from pulleydeal.credits.asks import resources_needed
+from pulleydeal.credits.images import ImageLocations
 from pulleydeal.credits.messages import Need
 from pulleydeal.credits.queue import Credit, Room, TaskId, Victim
 from pulleydeal.settings import Objective
@@ -15,46 +15,47 @@
 
 
 class CreditMaker:
-    """Works out one machine's credit anew; which machines need it is the queue's owner's to say."""
+    """Computes the credit of one machine; the caller decides which machines to recompute."""
 
     def __init__(
         self,
         replica: Replica,
-        images: ImagesHeld,
+        images: ImageLocations,
         objectives: list[Objective],
         clock: Clock,
-        silent: Callable[[Station], bool],
+        is_silent: Callable[[Station], bool],
     ) -> None:
         self._replica = replica
         self._images = images
         self._objectives = objectives
         self._clock = clock
-        self._silent = silent
-        # Job -> whether a stopped task would make it miss an aim; holds for one round.
+        self._is_silent = is_silent
+        # Job -> whether stopping one of its tasks would miss an objective; valid for one round.
         self._at_risk: dict[str, bool] = {}
 
     def begin_round(self) -> None:
-        """What jobs may still lose changes with time."""
+        """Clears the cached risks, which change with time."""
         self._at_risk.clear()
 
-    def gives(self, station: Station) -> bool:
-        """Whether anything may be started there now, if there is room."""
+    def offers_credit(self, station: Station) -> bool:
+        """Whether tasks may be started on the machine, capacity permitting."""
         record = self._replica.machines.get(station.id)
         if record is None or record.record.state != "up" or station.type not in self._replica.types:
             return False
         if not station.trusted or station.notice_at is not None:
             return False
-        # One whose reports come but that hears nothing starts nothing.
-        return not self._silent(station) and station.unanswered_since is None
+        # A machine that reports but does not answer orders can't be told to start anything.
+        return not self._is_silent(station) and station.unanswered_since is None
 
     def credit(
         self, station: Station, held: Iterable[tuple[TaskId, Need]], reserved: TaskId | None
     ) -> Credit | None:
-        """`held`: room held there for tasks; `reserved`: the task that it was emptied for.
+        """Returns the machine's credit, or None if nothing may be started there now.
 
-        None: nothing may be started there now.
+        `held`: tasks that have capacity held on the machine. `reserved`: the task for which the
+        machine was emptied by preemption.
         """
-        if not self.gives(station):
+        if not self.offers_credit(station):
             return None
         type_ = self._replica.types[station.type]
         room = Room(type_.cpus, type_.gpus, type_.memory)
@@ -64,50 +65,63 @@
             spec = self._replica.jobs[job_id].spec
             if spec is None:
                 continue
-            room.take(need_of(spec))
+            room.take(resources_needed(spec))
             if not task.stop and spec.priority < len(r.PRIORITIES) - 1:
-                victims.append(_victim(index, task, spec, self._misses(job_id)))
+                victims.append(_victim(index, task, spec, self._would_miss_objective(job_id)))
         for task_id, entry in station.entries.items():
             job = self._replica.jobs.get(task_id[0])
             if task_id not in bound and entry.state != "exited" and job and job.spec:
-                room.take(need_of(job.spec))  # unbound, but still there until it is killed
+                # Unbound, but it uses capacity until it is killed.
+                room.take(resources_needed(job.spec))
         for task_id, need in held:
             if task_id not in bound:
                 room.take(need)
-        fetching = self._fetching(station)
+        fetching = self._images_being_fetched(station)
         return Credit(
             station.id,
             station.type,
             station.zone,
             station.spot,
             room,
-            self._images.of(station.id) - fetching,
+            self._images.cached_on(station.id) - fetching,
             fetching,
             reserved,
             victims,
         )
 
-    def _misses(self, job_id: str) -> bool:
-        found = self._at_risk.get(job_id)
-        if found is None:
+    def _would_miss_objective(self, job_id: str) -> bool:
+        result = self._at_risk.get(job_id)
+        if result is None:
             job = self._replica.jobs[job_id]
-            found = rules.can_lose(job, self._objectives, self._clock.wall())
-            self._at_risk[job_id] = found
-        return found
+            result = rules.can_lose(job, self._objectives, self._clock.wall())
+            self._at_risk[job_id] = result
+        return result
 
-    def _fetching(self, station: Station) -> frozenset[str]:
-        """A binding names its image at once, but the image may be most of a minute away."""
-        found = set()
+    def _images_being_fetched(self, station: Station) -> frozenset[str]:
+        """Images that the machine is still downloading.
+
+        A binding counts its image as cached at once, but the download may take most of a minute.
+        """
+        result = set()
         for (job_id, _), entry in station.entries.items():
             job = self._replica.jobs.get(job_id)
             if entry.state == "fetching" and job is not None and job.spec is not None:
-                found.add(job.spec.image)
-        return frozenset(found)
+                result.add(job.spec.image)
+        return frozenset(result)
 
 
-def _victim(index: int, task: r.Task, spec: r.JobSpec, misses: bool) -> Victim:
-    loss = spec.checkpoint_s or spec.estimate_s or 60.0
+def _victim(index: int, task: r.Task, spec: r.JobSpec, would_miss_objective: bool) -> Victim:
+    lost_work_s = spec.checkpoint_s or spec.estimate_s or 60.0
     if spec.kind == "gang":
-        loss *= spec.tasks
-    need = need_of(spec)
-    return Victim(spec.id, index, task.attempt, need, spec.priority, loss, spec.team, misses)
+        lost_work_s *= spec.tasks
+    need = resources_needed(spec)
+    return Victim(
+        spec.id,
+        index,
+        task.attempt,
+        need,
+        spec.priority,
+        lost_work_s,
+        spec.team,
+        would_miss_objective,
+    )
--- a/pulleydeal/credits/messages.py
+++ b/pulleydeal/credits/messages.py
@@ -1,4 +1,4 @@
-"""Asks, holds and releases between a job's leader and a machine's owner."""
+"""Messages between a job's leader and a machine's owner: credit requests, holds, releases."""
 
 from dataclasses import dataclass, field
 
@@ -7,36 +7,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
+    """Resources that one task needs."""
+
     cpus: float
     gpus: float
     memory: float
 
 
 @dataclass(slots=True)
-class Ask:
-    """A task waits at an owner for credit."""
+class CreditRequest:
+    """A task's request for credit, queued at an owner."""
 
     epoch: int
     job: str
     index: int
     need: Need
     priority: int
-    guaranteed: bool  # falls within its team's guarantee
-    missed: int  # aims of its job that can no longer be met; smaller goes first
-    work: float  # task seconds of its job that still wait; smaller goes first
-    at: float  # when its job was accepted, by the time of day
+    guaranteed: bool  # within its team's guarantee
+    missed_objectives: int  # objectives that its job can no longer meet; fewer goes first
+    waiting_work: float  # less goes first, see `rules.turn`
+    tiebreak_time: float  # wall clock, see `rules.QueueRank`; earlier goes first
     gang: bool
     spot: bool
     team: str
     image: str
-    types: list[str]  # empty: any
-    zones: list[str]  # allowed now
-    avoid: list[str] = field(default_factory=list)  # machines that it failed on
+    types: list[str]  # empty: any type
+    zones: list[str]  # zones that are allowed now
+    avoid: list[str] = field(default_factory=list)  # machines on which the job failed lately
 
 
 @dataclass(slots=True)
 class Hold:
-    """The owner keeps room on a machine for a task until its binding shows, or time is up."""
+    """The owner holds capacity on a machine until the task's binding shows or the time is up."""
 
     epoch: int
     job: str
@@ -47,23 +49,32 @@
 
 @dataclass(slots=True)
 class Free:
-    """The leader wants no (or no more) room for a task."""
+    """The leader no longer needs credit, or the capacity held, for a task."""
 
     epoch: int
     job: str
     index: int
 
 
-def pack_ask(a: Ask) -> bytes:
-    p = Packer().u64(a.epoch).text(a.job).u32(a.index)
-    p.f64(a.need.cpus).f64(a.need.gpus).f64(a.need.memory)
-    p.u8(a.priority).u8(a.guaranteed).u8(a.missed).f64(a.work).f64(a.at).u8(a.gang).u8(a.spot)
-    return p.text(a.team).text(a.image).texts(a.types).texts(a.zones).texts(a.avoid).bytes()
+def pack_ask(request: CreditRequest) -> bytes:
+    p = Packer().u64(request.epoch).text(request.job).u32(request.index)
+    p.f64(request.need.cpus).f64(request.need.gpus).f64(request.need.memory)
+    p.u8(request.priority).u8(request.guaranteed).u8(request.missed_objectives).f64(
+        request.waiting_work
+    ).f64(request.tiebreak_time).u8(request.gang).u8(request.spot)
+    return (
+        p.text(request.team)
+        .text(request.image)
+        .texts(request.types)
+        .texts(request.zones)
+        .texts(request.avoid)
+        .bytes()
+    )
 
 
-def unpack_ask(data: bytes) -> Ask:
+def unpack_ask(data: bytes) -> CreditRequest:
     u = Unpacker(data)
-    return Ask(
+    return CreditRequest(
         u.u64(),
         u.text(),
         u.u32(),
@@ -83,8 +94,16 @@
     )
 
 
-def pack_hold(h: Hold) -> bytes:
-    return Packer().u64(h.epoch).text(h.job).u32(h.index).text(h.machine).f64(h.seconds).bytes()
+def pack_hold(hold: Hold) -> bytes:
+    return (
+        Packer()
+        .u64(hold.epoch)
+        .text(hold.job)
+        .u32(hold.index)
+        .text(hold.machine)
+        .f64(hold.seconds)
+        .bytes()
+    )
 
 
 def unpack_hold(data: bytes) -> Hold:
@@ -92,8 +111,8 @@
     return Hold(u.u64(), u.text(), u.u32(), u.text(), u.f64())
 
 
-def pack_free(f: Free) -> bytes:
-    return Packer().u64(f.epoch).text(f.job).u32(f.index).bytes()
+def pack_free(free: Free) -> bytes:
+    return Packer().u64(free.epoch).text(free.job).u32(free.index).bytes()
 
 
 def unpack_free(data: bytes) -> Free:
@@ -101,7 +120,7 @@
     return Free(u.u64(), u.text(), u.u32())
 
 
-Cached = dict[str, dict[str, float]]  # machine -> image -> GB, oldest first
+Cached = dict[str, dict[str, float]]  # machine -> image -> size in GB, oldest image first
 
 
 def pack_cached(cached: Cached) -> bytes:
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -1,27 +1,29 @@
-"""The credit queue of one part, and the choices made from it: plain functions over state."""
+"""The credit queue of one owner, and functions that choose credits and preemption victims."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from itertools import islice
 
 from pulleydeal import constants as c
-from pulleydeal.credits.messages import Ask, Need
+from pulleydeal.credits.messages import CreditRequest, Need
 
 TaskId = tuple[str, int]
-TINY = 1e-6  # amounts are decimals on the wire: sums of them may be off by rounding
+ROUNDING_TOLERANCE = 1e-6  # amounts are decimals on the wire: sums have rounding errors
 
 
 @dataclass(slots=True)
 class Room:
+    """Free capacity of a machine."""
+
     cpus: float
     gpus: float
     memory: float
 
     def fits(self, need: Need) -> bool:
         return (
-            need.cpus <= self.cpus + TINY
-            and need.gpus <= self.gpus + TINY
-            and need.memory <= self.memory + TINY
+            need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            and need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            and need.memory <= self.memory + ROUNDING_TOLERANCE
         )
 
     def take(self, need: Need) -> None:
@@ -37,90 +39,97 @@
 
 @dataclass(slots=True)
 class Victim:
-    """A task that could be stopped for another."""
+    """A running task that may be preempted."""
 
     job: str
     index: int
     attempt: int
     need: Need
     priority: int
-    loss: float  # rough work lost when it is stopped; smaller goes first
+    lost_work_s: float  # estimate of the task seconds that a stop loses; smaller goes first
     team: str
-    misses: bool = False  # its job would miss an aim that it can still meet
+    # Stopping it would make its job miss an objective that can still be met.
+    would_miss_objective: bool = False
 
 
 @dataclass(slots=True)
 class Credit:
-    """One machine's reported free room, less what was started there since."""
+    """Free capacity of one machine, as reported, less what was granted there since."""
 
     machine: str
     type: str
     zone: str
     spot: bool
     room: Room
-    images: frozenset[str] = frozenset()  # there already
-    fetching: frozenset[str] = frozenset()  # on their way; they share the machine's rate
-    reserved: TaskId | None = None  # emptied for this task; nobody else may take it
+    images: frozenset[str] = frozenset()  # in the machine's cache
+    fetching: frozenset[str] = frozenset()  # being downloaded; they share the machine's bandwidth
+    reserved: TaskId | None = None  # the machine was emptied for this task and takes no other
     victims: list[Victim] = field(default_factory=list)
-    # What the victims of priorities below `ROOM_BELOW` take (cpus, gpus): summed once, as totals
-    # are published several times a second and most credits did not change in between.
+    # (cpus, gpus) of the victims with a priority below `ROOM_BELOW`. Summed once per credit,
+    # because totals are published several times a second and most credits do not change in between.
     stoppable: tuple[float, float] = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        lower = [victim.need for victim in self.victims if victim.priority < c.ROOM_BELOW]
-        self.stoppable = (sum(n.cpus for n in lower), sum(n.gpus for n in lower))
+        lower_priority = [victim.need for victim in self.victims if victim.priority < c.ROOM_BELOW]
+        self.stoppable = (sum(n.cpus for n in lower_priority), sum(n.gpus for n in lower_priority))
 
 
 @dataclass(slots=True)
-class Waiting:
-    ask: Ask
+class WaitingRequest:
+    """A credit request that is queued at this owner."""
+
+    request: CreditRequest
     leader: str
-    since: float
-    until: float
-    look_at: float  # when all credits are looked at again, not only those that changed
+    since: float  # when the task's first request came; renewals keep it
+    expires_at: float
+    rescan_at: float  # when to scan all credits again, not only those that changed
 
 
-def allowed(credit: Credit, ask: Ask) -> bool:
+def is_allowed(credit: Credit, request: CreditRequest) -> bool:
     return (
-        (not ask.types or credit.type in ask.types)
-        and credit.zone in ask.zones
-        and (ask.spot or not credit.spot)
-        and credit.machine not in ask.avoid
-        and credit.reserved in (None, (ask.job, ask.index))
+        (not request.types or credit.type in request.types)
+        and credit.zone in request.zones
+        and (request.spot or not credit.spot)
+        and credit.machine not in request.avoid
+        and credit.reserved in (None, (request.job, request.index))
     )
 
 
-def fetch_rank(credit: Credit, ask: Ask) -> int:
-    """How long the image will take, roughly: there, on its way, or behind so many others."""
-    if ask.image in credit.images:
+def fetch_rank(credit: Credit, request: CreditRequest) -> int:
+    """Ranks credits by expected image download time; lower is faster.
+
+    0: the image is cached or already downloading. Otherwise 1 plus the number of downloads that
+    the machine is busy with.
+    """
+    if request.image in credit.images:
         return 0
-    return 0 if ask.image in credit.fetching else 1 + len(credit.fetching)
+    return 0 if request.image in credit.fetching else 1 + len(credit.fetching)
 
 
-def order(waiting: Waiting) -> tuple[int, int, int, float, float, float]:
-    """Owed work first within its priority, then what can be in time, then what came first."""
-    ask = waiting.ask
-    turn = (ask.missed, ask.work, ask.at)
-    return (-ask.priority, -int(ask.guaranteed), *turn, waiting.since)
+def service_order(waiting: WaitingRequest) -> tuple[int, int, int, float, float, float]:
+    """Sort key for waiting requests: priority, guarantee, job rank, then arrival."""
+    request = waiting.request
+    rank = (request.missed_objectives, request.waiting_work, request.tiebreak_time)
+    return (-request.priority, -int(request.guaranteed), *rank, waiting.since)
 
 
-def shape(ask: Ask) -> tuple[object, ...]:
-    """Asks of one shape fail alike: what no credit suits one, none suits the next."""
+def signature(request: CreditRequest) -> tuple[object, ...]:
+    """Requests of one signature fail alike: if one finds no credit, neither does the next."""
     return (
-        (ask.need.cpus, ask.need.gpus, ask.need.memory),
-        (ask.priority, ask.guaranteed, ask.spot, ask.team, ask.image),
-        (tuple(ask.types), tuple(ask.zones), tuple(ask.avoid)),
+        (request.need.cpus, request.need.gpus, request.need.memory),
+        (request.priority, request.guaranteed, request.spot, request.team, request.image),
+        (tuple(request.types), tuple(request.zones), tuple(request.avoid)),
     )
 
 
 class CreditQueue:
-    """Machines in the order in which they signalled room; a changed credit keeps its place."""
+    """Credits by machine, in order of arrival; an updated credit keeps its position."""
 
     def __init__(self) -> None:
         self.credits: dict[str, Credit] = {}
 
     def put(self, credit: Credit) -> bool:
-        """Queues or renews a credit; tells whether that changed anything."""
+        """Adds or updates a credit; returns whether anything changed."""
         if self.credits.get(credit.machine) == credit:
             return False
         self.credits[credit.machine] = credit
@@ -129,94 +138,119 @@
     def remove(self, machine: str) -> None:
         self.credits.pop(machine, None)
 
-    def head(self, ask: Ask) -> Credit | None:
-        """The design's ordinary path: a few credits from the head, the first that fits."""
+    def probe_head(self, request: CreditRequest) -> Credit | None:
+        """Fast path: the first of a few credits at the head that fits and has the image."""
         return next(
             (
                 credit
                 for credit in islice(self.credits.values(), c.PROBES)
-                if ask.image in credit.images and preferred(credit, ask) and _takes(credit, ask)
+                if request.image in credit.images
+                and is_preferred(credit, request)
+                and _can_host(credit, request)
             ),
             None,
         )
 
 
-def preferred(credit: Credit, ask: Ask) -> bool:
-    """Work that may use spot machines leaves the ordinary ones to work that may not: they cost
-    several times as much, and only empty ones can be given back."""
-    return credit.spot == ask.spot
+def is_preferred(credit: Credit, request: CreditRequest) -> bool:
+    """Whether the machine is of the kind, spot or on-demand, that the request should use.
+
+    Work that may run on spot machines leaves on-demand ones to work that may not: those cost
+    several times as much, and can be given back only when they are empty.
+    """
+    return credit.spot == request.spot
 
 
-def _takes(credit: Credit, ask: Ask) -> bool:
-    return credit.room.fits(ask.need) and allowed(credit, ask)
+def _can_host(credit: Credit, request: CreditRequest) -> bool:
+    return credit.room.fits(request.need) and is_allowed(credit, request)
 
 
-def probe(credits: Iterable[Credit], ask: Ask, ready: bool) -> Credit | None:
-    """The first credit that fits, or of those without the image the one least busy fetching.
+def find_credit(
+    credits: Iterable[Credit], request: CreditRequest, with_image: bool
+) -> Credit | None:
+    """Scans all credits; returns the best one that fits, or None.
 
-    Exceptions to the design, as our credits are unequal and the talk's are not. When none of the
-    first few fits, the others are looked at too, or a fitting credit further back would never
-    be found. Credits whose machines have the image (`ready`) are looked at before all others,
-    and machines busy fetching last: a fetch takes longer than most starts may. A task takes
-    the kind of machine it should where there is one. The room is compared first, since most
+    The fast path looks at a few credits only. Credits are unequal, so when none of those fits, all
+    must be scanned, or a fitting credit further back would never be found. Machines of the
+    preferred kind go first, then those with the shortest image download, since a download takes
+    longer than most starts may. The result is the first credit in the queue among equals.
+
+    `with_image`: only machines that have the image. Capacity is compared first, because most
     credits of a busy fleet have none left.
     """
     fitting = [
         credit
         for credit in credits
-        if (not ready or ask.image in credit.images) and _takes(credit, ask)
+        if (not with_image or request.image in credit.images) and _can_host(credit, request)
     ]
 
     def rank(credit: Credit) -> tuple[bool, int]:
-        return not preferred(credit, ask), fetch_rank(credit, ask)
+        return not is_preferred(credit, request), fetch_rank(credit, request)
 
     best = min(fitting, key=rank, default=None)
-    if ready and best is not None and ask.priority < c.ROOM_BELOW and not preferred(best, ask):
-        return None  # it can wait for a fetch, and will find the dear room if there is no other
+    if (
+        with_image
+        and best is not None
+        and request.priority < c.ROOM_BELOW
+        and not is_preferred(best, request)
+    ):
+        return None  # it can wait for a download, and gets on-demand capacity if there is no other
     return best
 
 
-def preemptible(victim: Victim, ask: Ask, over: set[str]) -> bool:
-    """PROTOCOL: lower priority, or borrowed beyond a guarantee while another team is owed.
+def preemptible(victim: Victim, request: CreditRequest, borrowers: set[str]) -> bool:
+    """Whether PROTOCOL allows `request` to preempt the victim.
 
-    `over`: teams that use more than their guarantee.
+    It does if the victim has a lower priority, or if its team uses more than its guarantee while
+    the request is within the guarantee of another team.
     """
-    return victim.priority < ask.priority or (
-        ask.guaranteed and victim.team in over and victim.team != ask.team
+    return victim.priority < request.priority or (
+        request.guaranteed and victim.team in borrowers and victim.team != request.team
     )
 
 
 def choose_victims(
-    credits: Iterable[Credit], ask: Ask, over: set[str], ready: bool, below: int
+    credits: Iterable[Credit],
+    request: CreditRequest,
+    borrowers: set[str],
+    with_image: bool,
+    below: int,
 ) -> tuple[Credit, list[Victim]] | None:
-    """The machine whose emptying for `ask` costs least, and what must stop on it.
+    """Returns the machine where preemption for the request costs least, and the tasks to stop.
 
-    `ready`: only machines that have the image; `below`: only victims of lower priority.
+    `with_image`: only machines that have the image. `below`: only victims of a lower priority.
     """
     best: tuple[float, Credit, list[Victim]] | None = None
     for credit in credits:
-        if not credit.victims or credit.reserved is not None or not allowed(credit, ask):
+        if not credit.victims or credit.reserved is not None or not is_allowed(credit, request):
             continue
-        if ready and ask.image not in credit.images:
+        if with_image and request.image not in credit.images:
             continue
         candidates = [
             v
             for v in credit.victims
-            # A fetch that is saved is not worth another job's aim.
-            if v.priority < below and not (ready and v.misses) and preemptible(v, ask, over)
+            # Saving a download does not justify making another job miss an objective.
+            if v.priority < below
+            and not (with_image and v.would_miss_objective)
+            and preemptible(v, request, borrowers)
         ]
         if not candidates:
             continue
         room = Room(credit.room.cpus, credit.room.gpus, credit.room.memory)
         chosen: list[Victim] = []
-        for victim in sorted(candidates, key=lambda v: (v.misses, v.priority, v.loss)):
-            if room.fits(ask.need):
+        for victim in sorted(
+            candidates, key=lambda v: (v.would_miss_objective, v.priority, v.lost_work_s)
+        ):
+            if room.fits(request.need):
                 break
             room.give(victim.need)
             chosen.append(victim)
-        if not room.fits(ask.need) or not chosen:
+        if not room.fits(request.need) or not chosen:
             continue
-        cost = sum(v.loss + 100.0 * v.priority + c.MISS_LOSS * v.misses for v in chosen)
+        cost = sum(
+            v.lost_work_s + 100.0 * v.priority + c.MISS_LOSS * v.would_miss_objective
+            for v in chosen
+        )
         if best is None or cost < best[0]:
             best = (cost, credit, chosen)
     return (best[1], best[2]) if best else None
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -1,4 +1,4 @@
-"""The owner's side: credits from reports, waiting asks, holds, and room made by preemption."""
+"""Grants credits of this node's machines to waiting requests, preempting tasks if necessary."""
 
 import asyncio
 import logging
@@ -7,10 +7,10 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
-from pulleydeal.credits.images import ImagesHeld
+from pulleydeal.credits.images import ImageLocations
 from pulleydeal.credits.making import CreditMaker
 from pulleydeal.credits.messages import (
-    Ask,
+    CreditRequest,
     Hold,
     Need,
     pack_hold,
@@ -22,11 +22,11 @@
     CreditQueue,
     TaskId,
     Victim,
-    Waiting,
+    WaitingRequest,
     choose_victims,
-    order,
-    probe,
-    shape,
+    find_credit,
+    service_order,
+    signature,
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
@@ -46,13 +46,15 @@
 
 
 @dataclass(slots=True)
-class Held:
+class ActiveHold:
     machine: str
     need: Need
     until: float
 
 
 class Credits:
+    """Owner side: credits of this node's machines, waiting requests, holds and reservations."""
+
     def __init__(
         self,
         membership: Membership,
@@ -76,42 +78,42 @@
         self._lock = threading.Lock()
         self._queue = CreditQueue()
         self._dirty: set[str] = set()  # machines whose credit may have changed
-        self._asks: dict[TaskId, Waiting] = {}
-        self._held: dict[TaskId, Held] = {}
-        self._held_on: dict[str, set[TaskId]] = {}
-        self._reserved: dict[str, tuple[TaskId, float]] = {}
-        self._reserved_for: dict[TaskId, str] = {}
-        self._images = ImagesHeld(membership, siblings, replica, clock, self._touch)
+        self._waiting: dict[TaskId, WaitingRequest] = {}
+        self._holds: dict[TaskId, ActiveHold] = {}
+        self._holds_by_machine: dict[str, set[TaskId]] = {}
+        self._reservations: dict[str, tuple[TaskId, float]] = {}
+        self._reserved_machine: dict[TaskId, str] = {}
+        self._images = ImageLocations(membership, siblings, replica, clock, self._mark_dirty)
         self._maker = CreditMaker(replica, self._images, objectives, clock, workers.silent)
         self._published: list[Total] = []
         self._published_at = -1e9
         self._unpublished = False
-        self._silence = Sweep(self._all_machines)
-        self._sweep = Sweep(self._all_machines)
+        self._silence_sweep = Sweep(self._all_machines)
+        self._credit_sweep = Sweep(self._all_machines)
         self._wake = asyncio.Event()
         siblings.on(ASK, self._on_ask)
         siblings.on(FREE, self._on_free)
-        workers.changed = self._touch
+        workers.changed = self._mark_dirty
         membership.totals = lambda: self._published
         replica.listen(self._on_change)
 
-    def _touch(self, machine: str) -> None:
+    def _mark_dirty(self, machine: str) -> None:
         self._dirty.add(machine)
         self._wake.set()
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "bound":
-            self._images.note(name)
-            self._touch(name)
+            self._images.record_bindings(name)
+            self._mark_dirty(name)
         elif kind == "machine":
             if name not in self._replica.machines:
                 self._images.forget(name)
-            self._touch(name)
+            self._mark_dirty(name)
         elif kind in ("view", "catalog"):
-            self._touch_all()
-            self._images.greet()
+            self._mark_all_dirty()
+            self._images.schedule_syncs()
 
-    def _touch_all(self) -> None:
+    def _mark_all_dirty(self) -> None:
         self._dirty.update(self._all_machines())
         self._wake.set()
 
@@ -120,87 +122,89 @@
 
     # --- messages -----------------------------------------------------------------------
     def _on_ask(self, leader: str, payload: bytes) -> None:
-        ask = unpack_ask(payload)
-        if ask.epoch != self._membership.epoch:
+        request = unpack_ask(payload)
+        if request.epoch != self._membership.epoch:
             return
         now = self._clock.now()
-        key = (ask.job, ask.index)
+        key = (request.job, request.index)
         with self._lock:
-            if key in self._held:
-                held = self._held[key]
-                self._say_held(leader, key, held, now)
+            if key in self._holds:
+                held = self._holds[key]
+                self._send_hold(leader, key, held, now)
                 return
-            old = self._asks.get(key)
-            since, look_at = now, now
+            old = self._waiting.get(key)
+            since, rescan_at = now, now
             if old is not None:
                 since = old.since
-                look_at = old.look_at if shape(old.ask) == shape(ask) else now
-            self._asks[key] = Waiting(ask, leader, since, now + c.ASK_TTL_S, look_at)
-        if look_at == now:
+                rescan_at = old.rescan_at if signature(old.request) == signature(request) else now
+            self._waiting[key] = WaitingRequest(
+                request, leader, since, now + c.ASK_TTL_S, rescan_at
+            )
+        if rescan_at == now:
             self._wake.set()
 
     def _on_free(self, _leader: str, payload: bytes) -> None:
         free = unpack_free(payload)
         if free.epoch == self._membership.epoch:
             with self._lock:
-                self._asks.pop((free.job, free.index), None)
-                self._let_go((free.job, free.index))
+                self._waiting.pop((free.job, free.index), None)
+                self._release_hold((free.job, free.index))
 
-    def _let_go(self, key: TaskId) -> None:
-        held = self._held.pop(key, None)
+    def _release_hold(self, key: TaskId) -> None:
+        held = self._holds.pop(key, None)
         if held is not None:
-            self._held_on[held.machine].discard(key)
-            if not self._held_on[held.machine]:
-                del self._held_on[held.machine]
-            self._touch(held.machine)
+            self._holds_by_machine[held.machine].discard(key)
+            if not self._holds_by_machine[held.machine]:
+                del self._holds_by_machine[held.machine]
+            self._mark_dirty(held.machine)
 
-    def _unreserve(self, machine: str) -> None:
-        key, _ = self._reserved.pop(machine)
-        self._reserved_for.pop(key, None)
-        self._touch(machine)
+    def _cancel_reservation(self, machine: str) -> None:
+        key, _ = self._reservations.pop(machine)
+        self._reserved_machine.pop(key, None)
+        self._mark_dirty(machine)
 
-    def _say_held(self, leader: str, key: TaskId, held: Held, now: float) -> None:
+    def _send_hold(self, leader: str, key: TaskId, held: ActiveHold, now: float) -> None:
         hold = Hold(self._membership.epoch, *key, held.machine, held.until - now)
-        # The answer to an ask of our own must not run inside our lock.
+        # The reply to a request of this node must not be handled while the lock is held.
         asyncio.get_running_loop().call_soon(self._siblings.send, leader, HOLD, pack_hold(hold))
 
     # --- credits --------------------------------------------------------------------------
     def _credit(self, station: Station) -> Credit | None:
-        keys = self._held_on.get(station.id, ())
-        reserved = self._reserved.get(station.id)
-        held = [(key, self._held[key].need) for key in keys]
+        keys = self._holds_by_machine.get(station.id, ())
+        reserved = self._reservations.get(station.id)
+        held = [(key, self._holds[key].need) for key in keys]
         return self._maker.credit(station, held, reserved[0] if reserved else None)
 
-    def _over(self) -> set[str]:
+    def _teams_over_guarantee(self) -> set[str]:
         """Teams that use more than their guarantee."""
-        over = set()
+        borrowers = set()
         for name, (cpus, gpus) in self._replica.usage().items():
             team = self._teams.get(name)
             if team is not None and (0 < team.gpus < gpus or 0 < team.cpus < cpus):
-                over.add(name)
-        return over
+                borrowers.add(name)
+        return borrowers
 
     def _expire(self, now: float) -> None:
-        for key in [key for key, waiting in self._asks.items() if waiting.until < now]:
-            del self._asks[key]
-        for key, held in list(self._held.items()):
+        for key in [key for key, waiting in self._waiting.items() if waiting.expires_at < now]:
+            del self._waiting[key]
+        for key, held in list(self._holds.items()):
             if held.until < now or key in self._replica.bound.get(held.machine, {}):
-                self._let_go(key)
-        for machine, (key, until) in list(self._reserved.items()):
-            # A task that went elsewhere, or may no longer run here, must not keep the room:
-            # it would neither use it nor look at any other credit until the time is up.
-            if until < now or not self._still_wanted(machine, key):
-                self._unreserve(machine)
-
-    def _still_wanted(self, machine: str, key: TaskId) -> bool:
-        waiting = self._asks.get(key)
+                self._release_hold(key)
+        for machine, (key, until) in list(self._reservations.items()):
+            # A task that went elsewhere, or may no longer run here, must not keep the reservation:
+            # it would neither use it nor get any other credit until the reservation expires.
+            if until < now or not self._reservation_is_useful(machine, key):
+                self._cancel_reservation(machine)
+
+    def _reservation_is_useful(self, machine: str, key: TaskId) -> bool:
+        waiting = self._waiting.get(key)
         station = self._workers.stations.get(machine)
-        return waiting is not None and station is not None and station.zone in waiting.ask.zones
+        return waiting is not None and station is not None and station.zone in waiting.request.zones
 
     def _renew(self) -> list[Credit]:
-        """Renews the credits of machines that changed, and tells which ones did.
+        """Recomputes the credits of dirty machines and returns the credits that changed.
 
-        Renewing all of them each time cost most of a core at some hundred machines.
+        Recomputing all credits each time took most of a core with some hundred machines.
         """
         changed = []
         self._maker.begin_round()
@@ -217,7 +221,7 @@
         return changed
 
     async def work(self) -> None:
-        """One round: credits are renewed and given to the asks that wait, best first."""
+        """Runs one round: recomputes changed credits and grants them to waiting requests."""
         try:
             async with asyncio.timeout(c.PUBLISH_S if self._unpublished else c.CREDIT_TICK_S):
                 await self._wake.wait()
@@ -226,154 +230,170 @@
         self._wake.clear()
         if not self._membership.is_member:
             return
-        stops = []
+        to_stop = []
         now = self._clock.now()
         with self._lock:
-            self._look_around(now)
+            self._mark_due_machines(now)
             self._expire(now)
-            self._images.tell(now)
+            self._images.send_due_syncs(now)
             changed = self._renew()
-            self._wake.clear()  # what was touched meanwhile has just been renewed
-            stops = self._serve_all(changed, now)
+            self._wake.clear()  # machines marked in the meantime have just been recomputed
+            to_stop = self._serve_requests(changed, now)
             if self._unpublished and now - self._published_at >= c.PUBLISH_S:
                 self._published_at = now
                 self._publish()
-        for victim, why in stops:
+        for victim, why in to_stop:
             self._eviction.stop(victim.job, victim.index, victim.attempt, why)
-        await asyncio.sleep(c.ROUND_SPACING_S)  # let changes of one moment share a round
+        await asyncio.sleep(c.ROUND_SPACING_S)  # lets simultaneous changes share a round
 
-    def _look_around(self, now: float) -> None:
-        """Finds what nothing tells: silence, and that time has changed what a stop would cost.
+    def _mark_due_machines(self, now: float) -> None:
+        """Marks machines whose credit may have changed without an event.
 
-        The first is cheap and looked for as often on any number of machines; credits are worked
-        out anew more seldom where there are many (281 ms for 1,600 machines).
+        A machine may have gone silent: this check is cheap and has a fixed period. The cost of
+        stopping tasks changes with time: recomputing credits takes 281 ms for 1,600 machines, so
+        its period grows with their number.
         """
         machines = len(self._workers.stations)
-        for machine in self._silence.due(now, c.CREDIT_SWEEP_S):
+        for machine in self._silence_sweep.due(now, c.CREDIT_SWEEP_S):
             station = self._workers.stations.get(machine)
-            gives = station is not None and self._maker.gives(station)
-            if gives != (machine in self._queue.credits):
+            offers_credit = station is not None and self._maker.offers_credit(station)
+            if offers_credit != (machine in self._queue.credits):
                 self._dirty.add(machine)
         period_s = max(c.CREDIT_SWEEP_S, machines / c.CREDITS_SWEPT_A_SECOND)
-        self._dirty.update(self._sweep.due(now, period_s))
+        self._dirty.update(self._credit_sweep.due(now, period_s))
+
+    def _serve_requests(self, changed: list[Credit], now: float) -> list[tuple[Victim, str]]:
+        """Tries to grant credits to waiting requests; returns the tasks to stop, with reasons.
 
-    def _serve_all(self, changed: list[Credit], now: float) -> list[tuple[Victim, str]]:
-        """A new ask looks at all credits; one that found none, at those that changed since."""
+        A new request scans all credits. One that found none then scans only credits that changed,
+        and all of them again at `rescan_at`.
+        """
         due = [
             waiting
-            for waiting in self._asks.values()
+            for waiting in self._waiting.values()
             if changed
-            or waiting.look_at <= now
-            or (waiting.ask.job, waiting.ask.index) in self._reserved_for
+            or waiting.rescan_at <= now
+            or (waiting.request.job, waiting.request.index) in self._reserved_machine
         ]
-        stops: list[tuple[Victim, str]] = []
+        to_stop: list[tuple[Victim, str]] = []
         failed: set[tuple[object, ...]] = set()
-        over = self._over()
-        for waiting in sorted(due, key=order):
-            full = waiting.look_at <= now
-            may_stop = now - waiting.since >= c.PREEMPT_AFTER_S
-            key = (waiting.ask.job, waiting.ask.index)
-            own = key in self._reserved_for
-            kind = (full, may_stop, *shape(waiting.ask))
-            if full:
-                again = c.LOOK_AGAIN_S if may_stop else c.PREEMPT_AFTER_S
-                waiting.look_at = now + again
-            if not own and kind in failed:
+        borrowers = self._teams_over_guarantee()
+        for waiting in sorted(due, key=service_order):
+            is_full_scan = waiting.rescan_at <= now
+            may_preempt = now - waiting.since >= c.PREEMPT_AFTER_S
+            key = (waiting.request.job, waiting.request.index)
+            has_reservation = key in self._reserved_machine
+            attempt_kind = (is_full_scan, may_preempt, *signature(waiting.request))
+            if is_full_scan:
+                delay_s = c.LOOK_AGAIN_S if may_preempt else c.PREEMPT_AFTER_S
+                waiting.rescan_at = now + delay_s
+            if not has_reservation and attempt_kind in failed:
                 continue
-            credits = self._queue.credits.values() if full else changed
-            stopped = self._serve(waiting, list(credits), over, may_stop, now)
-            stops += stopped
-            if not own and not stopped and key in self._asks:
-                failed.add(kind)
-        return stops
-
-    def _serve(
-        self, waiting: Waiting, credits: list[Credit], over: set[str], may_stop: bool, now: float
+            credits = self._queue.credits.values() if is_full_scan else changed
+            preempted = self._serve_request(waiting, list(credits), borrowers, may_preempt, now)
+            to_stop += preempted
+            if not has_reservation and not preempted and key in self._waiting:
+                failed.add(attempt_kind)
+        return to_stop
+
+    def _serve_request(
+        self,
+        waiting: WaitingRequest,
+        credits: list[Credit],
+        borrowers: set[str],
+        may_preempt: bool,
+        now: float,
     ) -> list[tuple[Victim, str]]:
-        ask = waiting.ask
-        reserved = self._reserved_for.get((ask.job, ask.index))
-        credit = self._queue.head(ask) or probe(credits, ask, ready=True)
+        request = waiting.request
+        reserved = self._reserved_machine.get((request.job, request.index))
+        credit = self._queue.probe_head(request) or find_credit(credits, request, with_image=True)
         if credit is None and reserved is not None:
-            # The room that was made for it, even where the image is missing.
-            own = self._queue.credits.get(reserved)
-            credit = own if own is not None and own.room.fits(ask.need) else None
+            # The machine emptied for this task is used even if the image is missing there.
+            emptied = self._queue.credits.get(reserved)
+            credit = emptied if emptied is not None and emptied.room.fits(request.need) else None
         if credit is not None:
             self._hold(waiting, credit, now)
             return []
         if reserved is not None:
             return []
-        if self._worth_room(ask):
-            # A start on a machine with the image beats an idle machine without: the fetch
-            # would take longer than what the stopped tasks lose.
-            chosen = choose_victims(credits, ask, over, ready=True, below=c.ROOM_BELOW)
+        if self._is_preemption_worthwhile(request):
+            # Starting on a machine that has the image beats an idle machine without it: the
+            # download would take longer than the work lost by stopped tasks.
+            chosen = choose_victims(
+                credits, request, borrowers, with_image=True, below=c.ROOM_BELOW
+            )
             if chosen is not None:
-                return self._reserve(ask, *chosen, now)
-        credit = probe(credits, ask, ready=False)
+                return self._reserve(request, *chosen, now)
+        credit = find_credit(credits, request, with_image=False)
         if credit is not None:
             self._hold(waiting, credit, now)
-        elif may_stop:
-            asked = self._stopping(ask)
-            chosen = choose_victims(credits, asked, over, ready=False, below=len(r.PRIORITIES))
+        elif may_preempt:
+            stop_request = self._with_preemption_priority(request)
+            chosen = choose_victims(
+                credits, stop_request, borrowers, with_image=False, below=len(r.PRIORITIES)
+            )
             if chosen is not None:
-                return self._reserve(ask, *chosen, now)
+                return self._reserve(request, *chosen, now)
         return []
 
-    def _worth_room(self, ask: Ask) -> bool:
-        job = self._replica.jobs.get(ask.job)
+    def _is_preemption_worthwhile(self, request: CreditRequest) -> bool:
+        """Whether the request is urgent and its image download is longer than `WORTH_FETCH_S`."""
+        job = self._replica.jobs.get(request.job)
         spec = job.record.spec if job is not None and job.record is not None else None
-        # A priority lent by a later job brings it to the front, but saves that job no fetch.
+        # The job's own priority counts: one inherited from a dependent job moves it up the queue,
+        # but saves that job no download.
         if spec is None or spec.priority < c.ROOM_BELOW:
             return False
         rates = [t.fetch_gb_per_s for t in self._replica.types.values()]
         return spec.image_gb > c.WORTH_FETCH_S * max(rates, default=1.0)
 
-    def _stopping(self, ask: Ask) -> Ask:
-        """The ask with the priority that may stop others.
+    def _with_preemption_priority(self, request: CreditRequest) -> CreditRequest:
+        """Returns the request with the priority that counts for preemption.
 
-        A lent priority stops others only once the deadline that it was lent for is near: the
-        stages before have time, and what they stop has lost its work.
+        A priority inherited from a dependent job counts only when this job must start soon to meet
+        the deadline behind it. Until then it has time, and preempted tasks would lose their work.
         """
-        job = self._replica.jobs.get(ask.job)
+        job = self._replica.jobs.get(request.job)
         spec = job.record.spec if job is not None and job.record is not None else None
-        if job is None or spec is None or spec.priority >= ask.priority:
-            return ask
-        near = job.due - job.estimate_s - self._clock.wall() < c.CHAIN_STOP_S
-        return ask if near else replace(ask, priority=spec.priority)
-
-    def _hold(self, waiting: Waiting, credit: Credit, now: float) -> None:
-        ask = waiting.ask
-        key = (ask.job, ask.index)
-        credit.room.take(ask.need)
+        if job is None or spec is None or spec.priority >= request.priority:
+            return request
+        is_near = job.due - job.estimate_s - self._clock.wall() < c.CHAIN_STOP_S
+        return request if is_near else replace(request, priority=spec.priority)
+
+    def _hold(self, waiting: WaitingRequest, credit: Credit, now: float) -> None:
+        request = waiting.request
+        key = (request.job, request.index)
+        credit.room.take(request.need)
         self._unpublished = True
-        until = now + (c.GANG_HOLD_S if ask.gang else c.HOLD_S)
-        held = self._held[key] = Held(credit.machine, ask.need, until)
-        self._held_on.setdefault(credit.machine, set()).add(key)
-        del self._asks[key]
-        machine = self._reserved_for.get(key)
+        until = now + (c.GANG_HOLD_S if request.gang else c.HOLD_S)
+        held = self._holds[key] = ActiveHold(credit.machine, request.need, until)
+        self._holds_by_machine.setdefault(credit.machine, set()).add(key)
+        del self._waiting[key]
+        machine = self._reserved_machine.get(key)
         if machine is not None:
-            self._unreserve(machine)
+            self._cancel_reservation(machine)
             if machine in self._queue.credits:
                 self._queue.credits[machine].reserved = None
-        self._say_held(waiting.leader, key, held, now)
+        self._send_hold(waiting.leader, key, held, now)
 
     def _reserve(
-        self, ask: Ask, credit: Credit, victims: list[Victim], now: float
+        self, request: CreditRequest, credit: Credit, victims: list[Victim], now: float
     ) -> list[tuple[Victim, str]]:
-        key = (ask.job, ask.index)
-        self._reserved[credit.machine] = (key, now + c.RESERVE_S)
-        self._reserved_for[key] = credit.machine
+        key = (request.job, request.index)
+        self._reservations[credit.machine] = (key, now + c.RESERVE_S)
+        self._reserved_machine[key] = credit.machine
         credit.reserved = key
         self._unpublished = True
-        why = made_room(ask.priority)
-        log.info("machine %s: %d tasks stop for %s/%d", credit.machine, len(victims), *key)
+        why = made_room(request.priority)
+        log.info("machine %s: preempting %d tasks for %s/%d", credit.machine, len(victims), *key)
         return [(victim, why) for victim in victims]
 
     def _publish(self) -> None:
         self._unpublished = False
-        waiting = ((key, self._asks.get(key)) for key in self._reserved_for)
-        made_for = {key: found.ask.need for key, found in waiting if found is not None}
-        old, self._published = self._published, totals(self._queue.credits.values(), made_for)
+        waiting = ((key, self._waiting.get(key)) for key in self._reserved_machine)
+        reserved_needs = {key: found.request.need for key, found in waiting if found is not None}
+        old, self._published = self._published, totals(self._queue.credits.values(), reserved_needs)
         if old != self._published:
-            self._membership.send_beat()  # the signal: credit changed
+            self._membership.send_beat()  # the heartbeat carries the changed totals
         self._metrics.credits.set(len(self._queue.credits))
-        self._metrics.asks.set(len(self._asks))
+        self._metrics.asks.set(len(self._waiting))
--- a/pulleydeal/placement/__init__.py
+++ b/pulleydeal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Binding, gangs, spread, quota: the leader of a job decides what may start."""
+"""Placement of tasks: a job's leader requests credit and decides which tasks may be bound."""
--- a/pulleydeal/placement/cleaning.py
+++ b/pulleydeal/placement/cleaning.py
@@ -1,4 +1,4 @@
-"""What a leader writes of tasks that went with their machines, and of jobs that are over."""
+"""Unbinds tasks of machines that are gone and finalizes the records of jobs that are over."""
 
 import asyncio
 import logging
@@ -15,53 +15,62 @@
 log = logging.getLogger("pulleydeal.placement")
 
 
-class Cleaning:
+class JobCleanup:
+    """Unbinds lost tasks and finalizes jobs, with at most one write per task or job in progress."""
+
     def __init__(self, membership: Membership, store: Store) -> None:
         self._membership = membership
         self._store = store
         self._replica = store.replica
-        self._clearing: set[str] = set()
-        self._gone: set[str] = set()  # machines given back, perhaps with bindings left
+        self._in_progress: set[str] = set()
+        self._dirty_machines: set[str] = set()  # machines to check for bindings that outlived them
+
+    def mark_machine(self, machine: str) -> None:
+        """Marks a machine that changed, or whose bindings changed."""
+        self._dirty_machines.add(machine)
 
-    def look_at(self, machine: str) -> None:
-        """It or its bindings changed."""
-        self._gone.add(machine)
+    def mark_all_bound(self) -> None:
+        """Marks all machines with bindings.
 
-    def look_at_all(self) -> None:
-        """Whoever led before may have left some; and after a load no machine was told of."""
-        self._gone.update(self._replica.bound)
+        The previous leader may have left some unfinished, and a load of the replica reports no
+        changes of single machines.
+        """
+        self._dirty_machines.update(self._replica.bound)
 
-    def release_gone(self) -> None:
-        """A machine that is durably gone took all its tasks with it."""
-        for machine in list(self._gone):
+    def unbind_lost_tasks(self) -> None:
+        """Unbinds the tasks of machines that are durably recorded as gone."""
+        for machine in list(self._dirty_machines):
             record = self._replica.machines.get(machine)
             bound = self._replica.bound.get(machine)
             if not bound or record is None or record.record.state != "gone":
-                self._gone.discard(machine)  # its next change is told again
+                self._dirty_machines.discard(machine)  # marked again at its next change
                 continue
             for (job_id, index), task in bound.items():
                 spec = self._replica.jobs[job_id].spec
                 key = f"{job_id}/{index}"
-                if spec is None or key in self._clearing or not self._membership.leads_job(spec):
+                if spec is None or key in self._in_progress or not self._membership.leads_job(spec):
                     continue
-                self._clearing.add(key)
-                why = task.stop or "its machine is gone"
-                proof = Exit(job_id, index, task.attempt, machine, "lost", why)
-                log.info("task %s attempt %d: machine %s is gone", key, task.attempt, machine)
+                self._in_progress.add(key)
+                reason = task.stop or "its machine is gone"
+                proof = Exit(job_id, index, task.attempt, machine, "lost", reason)
+                log.info("task %s attempt %d lost: machine %s is gone", key, task.attempt, machine)
                 future = self._store.change_job(
                     job_id, partial(apply_exit, gone=proof), turn=Turn.WORK
                 )
-                future.add_done_callback(partial(self._cleared, key))
+                future.add_done_callback(partial(self._finished, key))
+
+    def finalize(self, job: Job, turn: Turn) -> None:
+        """Writes what follows for a job that is done or cancelled.
 
-    def sweep(self, job: Job, turn: Turn) -> None:
-        """Writes what follows from what is known already: that a job is done or cancelled, and
-        what a large one left behind goes bit by bit, until one slim record stays."""
-        if turn is Turn.LATER and len(self._clearing) >= c.SWEEPS_AT_ONCE:
+        The change is empty: `Draft.finish` derives what has to be written.
+        A large job's chunks are removed step by step, until only one slim record remains.
+        """
+        if turn is Turn.LATER and len(self._in_progress) >= c.SWEEPS_AT_ONCE:
             return
-        if job.id not in self._clearing:
-            self._clearing.add(job.id)
+        if job.id not in self._in_progress:
+            self._in_progress.add(job.id)
             future = self._store.change_job(job.id, lambda draft: None, turn)
-            future.add_done_callback(partial(self._cleared, job.id))
+            future.add_done_callback(partial(self._finished, job.id))
 
-    def _cleared(self, key: str, _: "asyncio.Future[bool]") -> None:
-        self._clearing.discard(key)
+    def _finished(self, key: str, _: "asyncio.Future[bool]") -> None:
+        self._in_progress.discard(key)
--- a/pulleydeal/placement/failures.py
+++ b/pulleydeal/placement/failures.py
@@ -1,4 +1,4 @@
-"""What follows from tasks that failed: a pause, and machines that their job leaves out a while."""
+"""Back-off for failed tasks, and machines that their jobs avoid for a while."""
 
 from collections.abc import Container
 
@@ -7,39 +7,46 @@
 from pulleydeal.placement.pending import TaskId
 
 
-class Failures:
+class FailureBackoff:
+    """Failure counts of tasks, the end of their back-off, and machines that jobs avoid."""
+
     def __init__(self) -> None:
-        self._seen: dict[TaskId, tuple[int, float]] = {}  # failures seen, and when to try again
-        self._last: dict[TaskId, str] = {}  # where a task last ran
-        self._avoid: dict[str, dict[str, float]] = {}  # job -> machine -> until when
+        self._backoff: dict[TaskId, tuple[int, float]] = {}  # failure count, and when to try again
+        self._last_machine: dict[TaskId, str] = {}  # machine on which a task last ran
+        self._avoided: dict[str, dict[str, float]] = {}  # job -> machine -> end of the avoidance
 
-    def ran_on(self, key: TaskId, machine: str) -> None:
-        self._last[key] = machine
+    def record_machine(self, key: TaskId, machine: str) -> None:
+        self._last_machine[key] = machine
 
-    def may_try(self, key: TaskId, fails: int, now: float) -> bool:
-        """Whether the pause after the last of so many failures is over."""
-        if not fails:
+    def may_retry(self, key: TaskId, failures: int, now: float) -> bool:
+        """Whether the back-off after the latest of `failures` failures is over."""
+        if not failures:
             return True
-        seen, not_before = self._seen.get(key, (0, 0.0))
-        if seen != fails:
-            not_before = now + rules.error_backoff_s(fails)
-            self._seen[key] = (fails, not_before)
-            if key in self._last:
-                self._avoid.setdefault(key[0], {})[self._last[key]] = now + c.AVOID_S
+        known_failures, not_before = self._backoff.get(key, (0, 0.0))
+        if known_failures != failures:
+            not_before = now + rules.error_backoff_s(failures)
+            self._backoff[key] = (failures, not_before)
+            if key in self._last_machine:
+                self._avoided.setdefault(key[0], {})[self._last_machine[key]] = now + c.AVOID_S
         return now >= not_before
 
-    def avoided(self, job: str, now: float) -> list[str]:
-        """Machines that it leaves out, the latest first.
+    def avoided_machines(self, job: str, now: float) -> list[str]:
+        """Machines that the job avoids now, at most `AVOID_MOST` of the latest, sorted by id.
 
-        For a time: a job that had failed once on the one machine with room left it out for good,
-        and as the plan counts that room, nothing was rented for it either.
+        Avoidance is temporary: a job that had failed once on the only machine with capacity would
+        otherwise avoid it for good, and since the rental plan counts that capacity, no machine
+        would be rented for the job either.
         """
-        found = sorted(
-            (-until, machine) for machine, until in self._avoid.get(job, {}).items() if until > now
+        by_recency = sorted(
+            (-until, machine)
+            for machine, until in self._avoided.get(job, {}).items()
+            if until > now
         )
-        return sorted(machine for _, machine in found[: c.AVOID_MOST])
-
-    def forget(self, alive: Container[str]) -> None:
-        self._avoid = {job: v for job, v in self._avoid.items() if job in alive}
-        self._seen = {key: v for key, v in self._seen.items() if key[0] in alive}
-        self._last = {key: v for key, v in self._last.items() if key[0] in alive}
+        return sorted(machine for _, machine in by_recency[: c.AVOID_MOST])
+
+    def retain_jobs(self, open_jobs: Container[str]) -> None:
+        self._avoided = {job: value for job, value in self._avoided.items() if job in open_jobs}
+        self._backoff = {key: value for key, value in self._backoff.items() if key[0] in open_jobs}
+        self._last_machine = {
+            key: value for key, value in self._last_machine.items() if key[0] in open_jobs
+        }
--- a/pulleydeal/placement/parts.py
+++ b/pulleydeal/placement/parts.py
@@ -1,115 +1,133 @@
-"""Where a task waits for credit: plain functions over what the parts have published."""
+"""Chooses the owner at which a task requests credit, from the totals that owners publish."""
 
 from collections import Counter
 
 from pulleydeal import constants as c
 from pulleydeal.membership.messages import Images, Total
-from pulleydeal.placement.pending import Pending
+from pulleydeal.placement.pending import PendingRequest
 from pulleydeal.store import records as r
 
-# Has a fitting machine; one of the kind and with the image that count more for the task, and
-# less; free room.
-Score = tuple[bool, int, int, float]
+# Whether a machine has room; whether it has the image and is of the preferred kind, the more
+# important of the two first; free capacity.
+OwnerScore = tuple[bool, int, int, float]
 
 
-def suits(spec: r.JobSpec, total: Total) -> bool:
+def is_suitable(spec: r.JobSpec, total: Total) -> bool:
     return (spec.spot or not total.spot) and (spec.types is None or total.type in spec.types)
 
 
-def _has(spec: r.JobSpec, images: Images) -> bool:
-    """A machine has the image and, or so it seems, room for a task."""
+def _has_image_and_room(spec: r.JobSpec, images: Images) -> bool:
+    """Whether, by the totals, some machine has the image and room for a task."""
     cpus, gpus = images.get(spec.image, (-1.0, -1.0))
     return cpus >= spec.cpus and gpus >= spec.gpus
 
 
-def _amount(cpus: float, gpus: float) -> int:
-    """One measure of room: cards count first."""
+def _room_units(cpus: float, gpus: float) -> int:
+    """A scalar measure of capacity, dominated by GPUs."""
     return int(gpus * 100 + cpus)
 
 
-def gathers_in(
-    spec: r.JobSpec, zone: str, for_s: float, allowed: list[str], room: Counter[str]
+def choose_gang_zone(
+    spec: r.JobSpec, zone: str, tried_s: float, allowed: list[str], room_by_zone: Counter[str]
 ) -> str:
-    """The zone in which a gang gathers that has been trying one for so long: most room first, then
-    each in its turn.
+    """Chooses the zone in which a gang collects capacity.
 
-    Where no other zone shows room for all of it, it stays long enough for room to be made: it takes
-    a task seconds to save. Left before, each zone was emptied in its turn, and filled again by what
-    had been stopped.
+    `zone` is the current one, tried for `tried_s` seconds. It is kept for a while, then the gang
+    moves on to the zone with the most capacity among the others.
+
+    If no other zone shows capacity for the entire gang, the gang stays long enough for preemption,
+    since it takes tasks seconds to save. Otherwise each zone was emptied in turn, and filled again
+    by the preempted tasks.
     """
     others = [z for z in allowed if z != zone] or allowed
-    whole = spec.tasks * _amount(spec.cpus, spec.gpus)
-    elsewhere = any(room[z] >= whole for z in others)
-    if zone in allowed and for_s < (c.ZONE_TRY_S if elsewhere else c.ASK_STAY_S):
+    needed = spec.tasks * _room_units(spec.cpus, spec.gpus)
+    elsewhere = any(room_by_zone[z] >= needed for z in others)
+    if zone in allowed and tried_s < (c.ZONE_TRY_S if elsewhere else c.ASK_STAY_S):
         return zone
-    return max(others, key=lambda z: (room[z], z))
+    return max(others, key=lambda z: (room_by_zone[z], z))
 
 
-class Parts:
-    """The parts as published at one moment; what is worked out for a job is remembered."""
+class OwnerSelector:
+    """Totals of all owners at one moment, with scores cached per job and zones."""
 
-    def __init__(self, published: dict[str, list[Total]], now: float) -> None:
-        self._published = published
+    def __init__(self, totals_by_owner: dict[str, list[Total]], now: float) -> None:
+        self._totals_by_owner = totals_by_owner
         self._now = now
-        self._scores: dict[tuple[str, tuple[str, ...]], dict[str, Score]] = {}
+        self._scores: dict[tuple[str, tuple[str, ...]], dict[str, OwnerScore]] = {}
 
-    def room(self, spec: r.JobSpec) -> Counter[str]:
-        """Published room by zone."""
-        room: Counter[str] = Counter()
-        for totals in self._published.values():
+    def room_by_zone(self, spec: r.JobSpec) -> Counter[str]:
+        """Published capacity by zone, for machines that are suitable for the job."""
+        room_by_zone: Counter[str] = Counter()
+        for totals in self._totals_by_owner.values():
             for total in totals:
-                if suits(spec, total):
-                    room[total.zone] += _amount(total.cpus, total.gpus)
-        return room
-
-    def _score(self, spec: r.JobSpec, zones: list[str], part: str) -> Score:
-        fitting = [t for t in self._published[part] if t.zone in zones and suits(spec, t)]
-        largest = [
-            t for t in fitting if t.largest_cpus >= spec.cpus and t.largest_gpus >= spec.gpus
+                if is_suitable(spec, total):
+                    room_by_zone[total.zone] += _room_units(total.cpus, total.gpus)
+        return room_by_zone
+
+    def _score(self, spec: r.JobSpec, zones: list[str], owner: str) -> OwnerScore:
+        suitable = [
+            t for t in self._totals_by_owner[owner] if t.zone in zones and is_suitable(spec, t)
         ]
-        ready = any(_has(spec, t.images) for t in largest)
-        cheap = any(t.spot == spec.spot for t in largest)
-        room = sum(t.gpus + t.cpus / 100 for t in fitting)
+        with_room = [
+            t for t in suitable if t.largest_cpus >= spec.cpus and t.largest_gpus >= spec.gpus
+        ]
+        image_ready = any(_has_image_and_room(spec, t.images) for t in with_room)
+        preferred_kind = any(t.spot == spec.spot for t in with_room)
+        room = sum(t.gpus + t.cpus / 100 for t in suitable)
         if spec.priority < c.ROOM_BELOW:
-            return bool(largest), cheap, ready, room
-        # The owner makes room where the image is: as good as room that is there without it.
-        made = any(_has(spec, t.stoppable) for t in fitting)
-        return made or bool(largest), 2 * ready + made, cheap, room
-
-    def scores(self, spec: r.JobSpec, zones: list[str]) -> dict[str, Score]:
+            return bool(with_room), preferred_kind, image_ready, room
+        # The owner preempts where the image is: as good as free room on a machine without it.
+        room_possible = any(_has_image_and_room(spec, t.stoppable) for t in suitable)
+        return (
+            room_possible or bool(with_room),
+            2 * image_ready + room_possible,
+            preferred_kind,
+            room,
+        )
+
+    def scores(self, spec: r.JobSpec, zones: list[str]) -> dict[str, OwnerScore]:
         key = (spec.id, tuple(zones))
-        found = self._scores.get(key)
-        if found is None:
-            found = {part: self._score(spec, zones, part) for part in self._published}
-            self._scores[key] = found
-        return found
-
-    def choose(self, spec: r.JobSpec, index: int, zones: list[str], pending: Pending | None) -> str:
-        """The part to wait at: by published credit; without any, in turn."""
-        if not self._published or not zones:
+        scores = self._scores.get(key)
+        if scores is None:
+            scores = {owner: self._score(spec, zones, owner) for owner in self._totals_by_owner}
+            self._scores[key] = scores
+        return scores
+
+    def choose(
+        self, spec: r.JobSpec, index: int, zones: list[str], current: PendingRequest | None
+    ) -> str:
+        """Returns the owner at which the task should wait, or "" if there is none.
+
+        This is the owner with the best published credit; without any credit, owners take turns.
+        """
+        if not self._totals_by_owner or not zones:
             return ""
         scores = self.scores(spec, zones)
         now = self._now
         if (
-            pending is not None
-            and pending.part in scores
-            and now - pending.asked_at < c.ASK_TTL_S
-            and (scores[pending.part][0] or now - pending.since < c.ASK_REPEAT_S)
-            and now - pending.came_at < c.ASK_STAY_S
+            current is not None
+            and current.owner in scores
+            and now - current.sent_at < c.ASK_TTL_S
+            and (scores[current.owner][0] or now - current.since < c.ASK_REPEAT_S)
+            and now - current.owner_since < c.ASK_STAY_S
         ):
-            return pending.part
-        # What is published is a summary and may mislead: after a while the others have their turn.
-        left = pending.part if pending is not None else ""
-        best = max(scores, key=lambda p: (scores[p][0], p != left, *scores[p], p))
+            return current.owner
+        # Totals are a summary and may mislead, so after a while the other owners are tried.
+        previous = current.owner if current is not None else ""
+        best = max(
+            scores, key=lambda owner: (scores[owner][0], owner != previous, *scores[owner], owner)
+        )
         if scores[best][0]:
             return best
-        # Nobody has room: wait in one queue at a time, where there are machines to empty.
-        owners = [
-            p
-            for p in sorted(self._published)
-            if any(t.zone in zones and (spec.spot or not t.spot) for t in self._published[p])
+        # No owner has room: wait at one owner at a time, among those with machines to preempt on.
+        candidates = [
+            owner
+            for owner in sorted(self._totals_by_owner)
+            if any(
+                t.zone in zones and (spec.spot or not t.spot) for t in self._totals_by_owner[owner]
+            )
         ]
-        if not owners:
+        if not candidates:
             return ""
-        since = pending.since if pending else now
-        return owners[(index + int((now - since) / c.RESERVE_S)) % len(owners)]
+        since = current.since if current else now
+        return candidates[(index + int((now - since) / c.RESERVE_S)) % len(candidates)]
--- a/pulleydeal/placement/pending.py
+++ b/pulleydeal/placement/pending.py
@@ -1,4 +1,4 @@
-"""Waiting tasks that have asked a part for credit, found by job and by what is being written."""
+"""Credit requests of waiting tasks, by job, and those whose binding is being written."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,81 +9,89 @@
 
 
 @dataclass(slots=True)
-class Pending:
-    """A waiting task that has asked a part for credit."""
-
-    part: str
-    asked_at: float
-    since: float
-    zones: list[str]
-    came_at: float = 0.0  # when it began to wait at this part
-    look_at: float = 0.0  # when its part is thought over again
-    machine: str = ""  # held there
-    until: float = 0.0
-    writing: bool = False
+class PendingRequest:
+    """A waiting task's credit request at one owner."""
+
+    owner: str
+    sent_at: float  # when it was last sent
+    since: float  # when the task first requested credit, at any owner
+    zones: list[str]  # zones that were allowed when it was sent
+    owner_since: float = 0.0  # when it was first sent to this owner
+    review_at: float = 0.0  # when the choice of its owner is reviewed
+    machine: str = ""  # machine on which capacity is held
+    hold_until: float = 0.0  # end of the hold
+    writing: bool = False  # its binding is being written
 
     @property
-    def has_room(self) -> bool:
-        """Nothing is asked for it any more: it is bound soon, or the room is given up."""
+    def is_granted(self) -> bool:
+        """Whether it needs no more credit: it holds capacity or its binding is being written."""
         return bool(self.machine) or self.writing
 
 
-class PendingAsks:
-    """All of them; a look at one job's costs what that job has, not what all jobs have."""
+class PendingRequests:
+    """All pending requests; access to one job's costs only what that job has."""
 
     def __init__(self) -> None:
-        self._by_job: dict[str, dict[int, Pending]] = {}
-        self._writing: set[TaskId] = set()
+        self._by_job: dict[str, dict[int, PendingRequest]] = {}
+        self._writing_keys: set[TaskId] = set()
 
-    def get(self, key: TaskId) -> Pending | None:
+    def get(self, key: TaskId) -> PendingRequest | None:
         return self._by_job.get(key[0], {}).get(key[1])
 
-    def of(self, job: str) -> dict[int, Pending]:
+    def for_job(self, job: str) -> dict[int, PendingRequest]:
         return self._by_job.get(job, {})
 
-    def strays(self, job: str, wanted: set[int]) -> list[int]:
-        """Asks of tasks that are not among the first any more, and hold nothing.
+    def stale_indexes(self, job: str, wanted: set[int]) -> list[int]:
+        """Indexes of requests that are no longer wanted and hold nothing.
 
-        Tasks that were stopped come before those that asked: nobody renewed those asks, and no
-        others were made, so a large array that had given way never started another task.
+        Tasks that were stopped precede those that sent requests. Without this check nobody renewed
+        the old requests and no new ones were made, so a large array that had been preempted never
+        started another task.
         """
         return [
-            index for index, p in self.of(job).items() if index not in wanted and not p.has_room
+            index
+            for index, request in self.for_job(job).items()
+            if index not in wanted and not request.is_granted
         ]
 
-    def with_room(self, job: Job) -> int:
-        """How many of its tasks that are not bound yet have room."""
+    def count_granted(self, job: Job) -> int:
+        """Number of the job's tasks that hold capacity and are not bound yet."""
         return sum(
-            p.has_room and index not in job.on_machines for index, p in self.of(job.id).items()
+            request.is_granted and index not in job.on_machines
+            for index, request in self.for_job(job.id).items()
         )
 
     def jobs(self) -> list[str]:
         return list(self._by_job)
 
-    def put(self, key: TaskId, pending: Pending) -> None:
-        self._by_job.setdefault(key[0], {})[key[1]] = pending
+    def put(self, key: TaskId, request: PendingRequest) -> None:
+        self._by_job.setdefault(key[0], {})[key[1]] = request
 
-    def pop(self, key: TaskId) -> Pending | None:
-        mine = self._by_job.get(key[0], {})
-        pending = mine.pop(key[1], None)
-        if not mine:
+    def pop(self, key: TaskId) -> PendingRequest | None:
+        job_requests = self._by_job.get(key[0], {})
+        request = job_requests.pop(key[1], None)
+        if not job_requests:
             self._by_job.pop(key[0], None)
-        self._writing.discard(key)
-        return pending
-
-    def write(self, key: TaskId) -> str:
-        """Its binding is on its way to the state service; returns the machine."""
-        pending = self._by_job[key[0]][key[1]]
-        pending.writing = True
-        self._writing.add(key)
-        return pending.machine
-
-    def writing(self) -> Iterator[TaskId]:
-        return iter(self._writing)
-
-    def keep_writing(self) -> None:
-        """Holds and asks belong to an epoch; writes under way are settled by marks."""
-        kept = [(key, self._by_job[key[0]][key[1]]) for key in self._writing]
+        self._writing_keys.discard(key)
+        return request
+
+    def mark_writing(self, key: TaskId) -> str:
+        """Marks the request's binding as being written; returns the machine."""
+        request = self._by_job[key[0]][key[1]]
+        request.writing = True
+        self._writing_keys.add(key)
+        return request.machine
+
+    def writing_keys(self) -> Iterator[TaskId]:
+        return iter(self._writing_keys)
+
+    def keep_only_writing(self) -> None:
+        """Drops all requests except those whose binding is being written.
+
+        Requests and holds are valid for one epoch only. Writes in flight are settled by the
+        versions of the records that they depend on.
+        """
+        still_writing = [(key, self._by_job[key[0]][key[1]]) for key in self._writing_keys]
         self._by_job = {}
-        for key, pending in kept:
-            self.put(key, pending)
+        for key, request in still_writing:
+            self.put(key, request)
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -1,4 +1,4 @@
-"""The leader's side: asks parts for credit, and makes bindings durable once room is held."""
+"""Leader side of placement: requests credit for tasks and makes bindings durable once granted."""
 
 import asyncio
 import logging
@@ -15,11 +15,11 @@
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
-from pulleydeal.placement.bindings import Bindings
-from pulleydeal.placement.cleaning import Cleaning
-from pulleydeal.placement.failures import Failures
-from pulleydeal.placement.parts import Parts, gathers_in
-from pulleydeal.placement.pending import Pending, PendingAsks, TaskId
+from pulleydeal.placement.bindings import BindingRules
+from pulleydeal.placement.cleaning import JobCleanup
+from pulleydeal.placement.failures import FailureBackoff
+from pulleydeal.placement.parts import OwnerSelector, choose_gang_zone
+from pulleydeal.placement.pending import PendingRequest, PendingRequests, TaskId
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
@@ -33,6 +33,8 @@
 
 
 class Placement:
+    """Leader side: places the waiting tasks of the jobs that this node leads."""
+
     def __init__(
         self,
         membership: Membership,
@@ -57,23 +59,23 @@
         self._metrics = metrics
         self._decisions = DecisionLog(membership, store, clock, metrics)
         self._lock = threading.Lock()
-        self._pending = PendingAsks()
-        self._failures = Failures()
+        self._requests = PendingRequests()
+        self._failures = FailureBackoff()
         self._gang_zone: dict[str, tuple[str, float]] = {}
-        self._served_at: dict[str, float] = {}  # job -> when a task of it last had credit
+        self._granted_at: dict[str, float] = {}  # job -> when one of its tasks last got credit
         self._reasons: dict[str, str] = {}
-        self._turns: dict[str, rules.Turn] = {}  # of the jobs that wait
-        self._cleaning = Cleaning(membership, store)
-        self._bindings = Bindings(membership, store.replica, self._pending, teams, zones)
-        self._inside: set[str] = set()  # jobs within their team's guarantee
-        self._inside_at = -1  # the replica's count of open jobs' changes for which that holds
-        # Open jobs, and those led here, for the view and the count of changes for which they hold:
-        # asking for each job at each round took a sixth of a node's time (docs/results.md).
-        self._jobs: list[Job] = []
-        self._mine: list[Job] = []
-        self._mine_at: tuple[int, int, bool] | None = None
-        self._leads: dict[str, bool] = {}  # open job -> whether it is led here, in that view
-        self._tidied_at = -1e9
+        self._ranks: dict[str, rules.QueueRank] = {}  # of jobs with waiting tasks
+        self._cleanup = JobCleanup(membership, store)
+        self._binding_rules = BindingRules(membership, store.replica, self._requests, teams, zones)
+        self._guaranteed: set[str] = set()  # jobs within their team's guarantee
+        self._guaranteed_at = -1  # the replica's `open_changes` for which `_guaranteed` holds
+        # Open jobs, and those led by this node, cached per view and `open_changes`: checking each
+        # job in each round took a sixth of a node's time (docs/results.md).
+        self._open_jobs: list[Job] = []
+        self._led_jobs: list[Job] = []
+        self._led_jobs_key: tuple[int, int, bool] | None = None
+        self._leads_cache: dict[str, bool] = {}  # open job -> whether this node leads it
+        self._pruned_at = -1e9
         self._wake = asyncio.Event()
         siblings.on(HOLD, self._on_hold)
         store.replica.listen(self._on_change)
@@ -81,10 +83,10 @@
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "view":
             with self._lock:
-                self._pending.keep_writing()
-            self._cleaning.look_at_all()
+                self._requests.keep_only_writing()
+            self._cleanup.mark_all_bound()
         elif kind in ("machine", "bound"):
-            self._cleaning.look_at(name)
+            self._cleanup.mark_machine(name)
         self._wake.set()
 
     def reason(self, job: str) -> str:
@@ -102,115 +104,115 @@
             return
         now = self._clock.now()
         self._round(now)
-        await asyncio.sleep(c.ROUND_SPACING_S)  # let changes of one moment share a round
+        await asyncio.sleep(c.ROUND_SPACING_S)  # lets simultaneous changes share a round
 
     def _round(self, now: float) -> None:
-        jobs, mine = self._led()
-        self._cleaning.release_gone()
-        for job in mine:
+        jobs, led = self._update_led_jobs()
+        self._cleanup.unbind_lost_tasks()
+        for job in led:
             if job.is_open and job.spec is not None and job.done >= job.spec.tasks:
-                # Two owners that each wrote the last end of a chunk at the same moment: neither
-                # saw that all are done, and the job stayed open, and what waits on it too.
-                self._cleaning.sweep(job, Turn.WORK)
+                # Two owners may write the last ends of a chunk at the same moment, so that neither
+                # sees that all tasks are done. Without this the job, and jobs that wait for it,
+                # stayed open.
+                self._cleanup.finalize(job, Turn.WORK)
             elif not job.is_open and not job.bound:
-                self._cleaning.sweep(job, Turn.LATER)
-        self._forget(now)
+                self._cleanup.finalize(job, Turn.LATER)
+        self._prune(now)
         self._reasons = {}
-        if self._inside_at != self._replica.open_changes:
-            self._inside_at = self._replica.open_changes
-            self._inside = rules.guaranteed_jobs([j for j in jobs if j.is_ready], self._teams)
-        inside = self._inside
-        usage = self._usage()
-        parts = Parts(self._membership.parts(), now)
+        if self._guaranteed_at != self._replica.open_changes:
+            self._guaranteed_at = self._replica.open_changes
+            self._guaranteed = rules.guaranteed_jobs([j for j in jobs if j.is_ready], self._teams)
+        guaranteed = self._guaranteed
+        usage = self._projected_usage()
+        owners = OwnerSelector(self._membership.parts(), now)
 
         wall = self._clock.wall()
-        self._turns = {}
+        self._ranks = {}
 
-        def rank(job: Job) -> tuple[object, ...]:
+        def sort_key(job: Job) -> tuple[object, ...]:
             assert job.spec is not None
-            turn = rules.Turn(
+            rank = rules.QueueRank(
                 *rules.turn(job, self._objectives, wall, self._policy), rules.starts_by(job)
             )
-            self._turns[job.id] = turn
-            return (-job.spec.priority, job.id not in inside, *turn, job.id)
+            self._ranks[job.id] = rank
+            return (-job.spec.priority, job.id not in guaranteed, *rank, job.id)
 
         waiting: Counter[str] = Counter()
         incomplete = [
-            j for j in mine if j.is_ready and j.spec is not None and j.done + j.bound < j.spec.tasks
+            j for j in led if j.is_ready and j.spec is not None and j.done + j.bound < j.spec.tasks
         ]
-        for job in sorted(incomplete, key=rank):
-            self._place(job, job.id in inside, usage, parts, now)
+        for job in sorted(incomplete, key=sort_key):
+            self._place_job(job, job.id in guaranteed, usage, owners, now)
             if job.id in self._reasons:
                 waiting[self._reasons[job.id]] += 1
         for reason in ("team limit", "credit", "back-off"):
             self._metrics.waiting.labels(reason).set(waiting[reason])
 
-    def _led(self) -> tuple[list[Job], list[Job]]:
-        """All open jobs, and those that are led here."""
+    def _update_led_jobs(self) -> tuple[list[Job], list[Job]]:
+        """Returns all open jobs, and those that are led by this node."""
         membership = self._membership
-        at = (self._replica.open_changes, membership.epoch, membership.is_member)
-        if at != self._mine_at:
-            if self._mine_at is None or self._mine_at[1:] != at[1:]:
-                self._leads.clear()  # who leads a job follows from the view
-            self._jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
-            self._mine = [j for j in self._jobs if j.spec and self._leads_job(j.spec)]
-            self._mine_at = at
-        return self._jobs, self._mine
+        cache_key = (self._replica.open_changes, membership.epoch, membership.is_member)
+        if cache_key != self._led_jobs_key:
+            if self._led_jobs_key is None or self._led_jobs_key[1:] != cache_key[1:]:
+                self._leads_cache.clear()  # the view determines the leaders of jobs
+            self._open_jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
+            self._led_jobs = [j for j in self._open_jobs if j.spec and self._leads_job(j.spec)]
+            self._led_jobs_key = cache_key
+        return self._open_jobs, self._led_jobs
 
     def _leads_job(self, spec: r.JobSpec) -> bool:
-        """Worked out once for a job and view: for all open jobs at each change of one it was a
-        tenth of a node's time with 520 of them."""
-        found = self._leads.get(spec.id)
-        if found is None:
-            found = self._leads[spec.id] = self._membership.leads_job(spec)
-        return found
+        """Cached per view: recomputed at each job's change it took 10% of a node with 520 jobs."""
+        leads_here = self._leads_cache.get(spec.id)
+        if leads_here is None:
+            leads_here = self._leads_cache[spec.id] = self._membership.leads_job(spec)
+        return leads_here
 
-    def _usage(self) -> dict[str, rules.Amount]:
-        """What is bound, being bound, or has asked for credit."""
+    def _projected_usage(self) -> dict[str, rules.Amount]:
+        """Resources per team that are bound, being bound, or requested."""
         usage = dict(self._replica.usage())
-        for job_id in self._pending.jobs():
+        for job_id in self._requests.jobs():
             job = self._replica.jobs.get(job_id)
             if job is None or job.spec is None:
                 continue
-            count = sum(index not in job.on_machines for index in self._pending.of(job_id))
+            count = sum(index not in job.on_machines for index in self._requests.for_job(job_id))
             amount = (job.spec.cpus * count, job.spec.gpus * count)
             usage[job.spec.team] = rules.add(usage.get(job.spec.team, (0.0, 0.0)), amount)
         return usage
 
-    def _forget(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         with self._lock:
-            for job_id in self._pending.jobs():
+            for job_id in self._requests.jobs():
                 job = self._replica.jobs.get(job_id)
-                for index, pending in list(self._pending.of(job_id).items()):
+                for index, pending in list(self._requests.for_job(job_id).items()):
                     if pending.writing:
                         continue
                     key = (job_id, index)
                     if job is None or not job.is_open or index in job.on_machines:
-                        self._drop(key, tell=not self._bindings.is_bound(key))
-                    elif pending.machine and now > pending.until:
-                        self._drop(key, tell=True)
-        if now - self._tidied_at < c.TIDY_S:
+                        self._withdraw(key, notify_owner=not self._binding_rules.is_bound(key))
+                    elif pending.machine and now > pending.hold_until:
+                        self._withdraw(key, notify_owner=True)
+        if now - self._pruned_at < c.TIDY_S:
             return
-        self._tidied_at = now
-        alive = self._replica.open_jobs
-        self._failures.forget(alive)
-        self._served_at = {job: v for job, v in self._served_at.items() if job in alive}
-        self._gang_zone = {job: v for job, v in self._gang_zone.items() if job in alive}
-        self._leads = {job: v for job, v in self._leads.items() if job in alive}
+        self._pruned_at = now
+        open_jobs = self._replica.open_jobs
+        self._failures.retain_jobs(open_jobs)
+        self._granted_at = {job: v for job, v in self._granted_at.items() if job in open_jobs}
+        self._gang_zone = {job: v for job, v in self._gang_zone.items() if job in open_jobs}
+        self._leads_cache = {job: v for job, v in self._leads_cache.items() if job in open_jobs}
 
-    def _drop(self, key: TaskId, tell: bool) -> None:
-        pending = self._pending.pop(key)
-        if pending is not None and tell:
+    def _withdraw(self, key: TaskId, notify_owner: bool) -> None:
+        pending = self._requests.pop(key)
+        if pending is not None and notify_owner:
             free = Free(self._membership.epoch, *key)
-            self._siblings.send(pending.part, FREE, pack_free(free))
+            self._siblings.send(pending.owner, FREE, pack_free(free))
 
     # --- one job ----------------------------------------------------------------------------
-    def _place(
+    def _place_job(
         self,
         job: Job,
         guaranteed: bool,
         usage: dict[str, rules.Amount],
-        parts: Parts,
+        owners: OwnerSelector,
         now: float,
     ) -> None:
         spec = job.spec
@@ -221,81 +223,81 @@
         if spec.kind == "gang" and job.bound:
             self._reasons[job.id] = "the last attempt's tasks are still leaving"
             return
-        most = self._most_asks(job, spec, now)
-        wanted = job.waiting(most)
-        if len(self._pending.of(job.id)) >= most:
-            for stray in self._pending.strays(job.id, set(wanted)):
-                self._drop((job.id, stray), tell=True)
-        open_asks = len(self._pending.of(job.id))
-        ahead = job.bound + self._pending.with_room(job)
+        max_requests = self._max_requests(job, spec, now)
+        wanted = job.waiting(max_requests)
+        if len(self._requests.for_job(job.id)) >= max_requests:
+            for stale in self._requests.stale_indexes(job.id, set(wanted)):
+                self._withdraw((job.id, stale), notify_owner=True)
+        open_requests = len(self._requests.for_job(job.id))
+        ahead = job.bound + self._requests.count_granted(job)
         for index in wanted:
             key = (job.id, index)
-            pending = self._pending.of(job.id).get(index)
+            pending = self._requests.for_job(job.id).get(index)
             if pending is None:
-                if open_asks >= most:
+                if open_requests >= max_requests:
                     break
-                if not self._failures.may_try(key, job.task(index).fails, now):
+                if not self._failures.may_retry(key, job.task(index).fails, now):
                     self._reasons[job.id] = "back-off"
                     continue
-                after = rules.add(usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
-                if not rules.within_limit(team, after):
+                usage_after = rules.add(usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
+                if not rules.within_limit(team, usage_after):
                     self._reasons[job.id] = "team limit"
                     break
-                usage[spec.team] = after
-                open_asks += 1
+                usage[spec.team] = usage_after
+                open_requests += 1
             self._reasons.setdefault(job.id, "credit")
-            if pending is not None and pending.has_room:
+            if pending is not None and pending.is_granted:
                 continue
-            if pending is None or now >= pending.look_at:
-                self._ask(job, key, pending, guaranteed, ahead, parts, now)
+            if pending is None or now >= pending.review_at:
+                self._request_credit(job, key, pending, guaranteed, ahead, owners, now)
             ahead += 1
         if spec.kind == "gang":
             self._try_gang(job, now)
 
-    def _most_asks(self, job: Job, spec: r.JobSpec, now: float) -> int:
-        """How many tasks of a job queue at owners: of an array that waits in vain only a few.
+    def _max_requests(self, job: Job, spec: r.JobSpec, now: float) -> int:
+        """Maximum number of a job's tasks that request credit at the same time.
 
-        Six arrays of hundreds of tasks for which there was no room had 384 asks repeated each
-        second and thought over four times a second, all day long.
+        An array that got no credit for a while keeps only a few. Otherwise six large arrays had
+        384 requests, repeated every second and reviewed four times a second, all day long.
         """
-        served = self._served_at.setdefault(job.id, now)
-        if spec.kind != "array" or now - served < c.VAIN_AFTER_S:
+        granted_at = self._granted_at.setdefault(job.id, now)
+        if spec.kind != "array" or now - granted_at < c.VAIN_AFTER_S:
             return c.MAX_ASKS_PER_JOB
         return c.VAIN_ASKS
 
-    def _ask(
+    def _request_credit(
         self,
         job: Job,
         key: TaskId,
-        pending: Pending | None,
+        pending: PendingRequest | None,
         guaranteed: bool,
         ahead: int,
-        parts: Parts,
+        owners: OwnerSelector,
         now: float,
     ) -> None:
-        """`ahead`: tasks of its job that run, have room, or are asked for before this one."""
+        """`ahead`: tasks of the job that are bound, have capacity, or precede this one."""
         spec = job.spec
         assert spec is not None
-        zones = self._zones_for(job, key, parts, now)
-        part = parts.choose(spec, key[1], zones, pending)
-        if not part:
+        zones = self._allowed_zones(job, key, owners, now)
+        owner = owners.choose(spec, key[1], zones, pending)
+        if not owner:
             return
-        moved = pending is not None and (pending.part != part or pending.zones != zones)
-        if moved:
-            self._drop(key, tell=True)
-        if pending is None or moved:
+        moves = pending is not None and (pending.owner != owner or pending.zones != zones)
+        if moves:
+            self._withdraw(key, notify_owner=True)
+        if pending is None or moves:
             since = pending.since if pending else now
-            pending = Pending(part, -1e9, since, zones, now)
-            self._pending.put(key, pending)
-        pending.look_at = now + c.ASK_LOOK_S
-        if now - pending.asked_at >= c.ASK_REPEAT_S:
-            pending.asked_at = now
-            avoid = self._failures.avoided(job.id, now)
-            turn = rules.task_turn(spec, self._turns[job.id], ahead)
-            ask = ask_for(spec, key[1], self._membership.epoch, guaranteed, turn, zones, avoid)
-            self._siblings.send(part, ASK, pack_ask(ask))
+            pending = PendingRequest(owner, -1e9, since, zones, now)
+            self._requests.put(key, pending)
+        pending.review_at = now + c.ASK_LOOK_S
+        if now - pending.sent_at >= c.ASK_REPEAT_S:
+            pending.sent_at = now
+            avoid = self._failures.avoided_machines(job.id, now)
+            rank = rules.task_rank(spec, self._ranks[job.id], ahead)
+            request = ask_for(spec, key[1], self._membership.epoch, guaranteed, rank, zones, avoid)
+            self._siblings.send(owner, ASK, pack_ask(request))
 
-    def _zones_for(self, job: Job, key: TaskId, parts: Parts, now: float) -> list[str]:
+    def _allowed_zones(self, job: Job, key: TaskId, owners: OwnerSelector, now: float) -> list[str]:
         spec = job.spec
         assert spec is not None
         if not spec.one_zone and not spec.spread:
@@ -303,29 +305,29 @@
         used = self._used_zones(job, key)
         allowed = rules.zones_allowed(spec, used, self._zones)
         if spec.one_zone and spec.tasks > 1 and not used and len(allowed) > 1:
-            return [self._gather_in(job.id, spec, allowed, parts, now)]
+            return [self._choose_gang_zone(job.id, spec, allowed, owners, now)]
         return allowed
 
     def _used_zones(self, job: Job, key: TaskId | None) -> Counter[str]:
         machines = [task.machine for _, task in job.bindings()]
         machines += [
             p.machine
-            for index, p in self._pending.of(job.id).items()
+            for index, p in self._requests.for_job(job.id).items()
             if (job.id, index) != key and p.machine and index not in job.on_machines
         ]
         return rules.zones_used(machines, self._replica.zone_of)
 
-    def _gather_in(
-        self, job: str, spec: r.JobSpec, allowed: list[str], parts: Parts, now: float
+    def _choose_gang_zone(
+        self, job: str, spec: r.JobSpec, allowed: list[str], owners: OwnerSelector, now: float
     ) -> str:
         zone, since = self._gang_zone.get(job, ("", now))
-        chosen = gathers_in(spec, zone, now - since, allowed, parts.room(spec))
+        chosen = choose_gang_zone(spec, zone, now - since, allowed, owners.room_by_zone(spec))
         if chosen != zone:
             self._gang_zone[job] = (chosen, now)
         return chosen
 
     # --- holds and bindings -------------------------------------------------------------------
-    def _on_hold(self, part: str, payload: bytes) -> None:
+    def _on_hold(self, owner: str, payload: bytes) -> None:
         hold = unpack_hold(payload)
         key = (hold.job, hold.index)
         now = self._clock.now()
@@ -333,57 +335,57 @@
         if hold.epoch != self._membership.epoch or job is None or job.spec is None:
             return
         with self._lock:
-            pending = self._pending.get(key)
-            unwanted = pending is None or pending.part != part or not job.is_open
+            pending = self._requests.get(key)
+            unwanted = pending is None or pending.owner != owner or not job.is_open
             if not unwanted:
                 assert pending is not None
                 if pending.writing:
                     return
                 pending.machine = hold.machine
-                self._served_at[hold.job] = now
-                pending.until = now + hold.seconds
+                self._granted_at[hold.job] = now
+                pending.hold_until = now + hold.seconds
         if unwanted:
             free = Free(self._membership.epoch, *key)
-            self._siblings.send(part, FREE, pack_free(free))
+            self._siblings.send(owner, FREE, pack_free(free))
         elif job.spec.kind == "gang":
             self._try_gang(job, now)
         else:
             self._bind(job, [key])
 
     def _try_gang(self, job: Job, now: float) -> None:
-        """No member starts before there is room for all."""
+        """Binds the gang once capacity is held for all its members; none starts before that."""
         assert job.spec is not None
         keys = [(job.id, index) for index in job.waiting(job.spec.tasks)]
-        held = [self._pending.get(key) for key in keys]
+        requests = [self._requests.get(key) for key in keys]
         if len(keys) == job.spec.tasks and all(
-            p is not None and p.machine and not p.writing and now < p.until for p in held
+            p is not None and p.machine and not p.writing and now < p.hold_until for p in requests
         ):
             self._bind(job, keys)
 
     def _bind(self, job: Job, keys: list[TaskId]) -> None:
-        pending = self._pending.of(job.id)
-        until = min(pending[index].until for _, index in keys)
-        machines = {key[1]: self._pending.write(key) for key in keys}
+        pending = self._requests.for_job(job.id)
+        until = min(pending[index].hold_until for _, index in keys)
+        machines = {key[1]: self._requests.mark_writing(key) for key in keys}
 
         def mutate(draft: Draft) -> None:
             if self._clock.now() < until:
-                self._bindings.apply(draft, machines)
+                self._binding_rules.apply(draft, machines)
 
         future = self._store.change_job(job.id, mutate, turn=Turn.WORK)
-        future.add_done_callback(lambda _: self._bound(job.id, keys, machines))
+        future.add_done_callback(lambda _: self._on_bound(job.id, keys, machines))
 
-    def _bound(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
+    def _on_bound(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
         job = self._replica.jobs.get(job_id)
         for key in keys:
             task = job.task(key[1]) if job is not None else r.Task()
-            shown = task.machine == machines[key[1]]
+            is_shown = task.machine == machines[key[1]]
             with self._lock:
-                self._drop(key, tell=not shown)
-            if shown and job is not None and job.record is not None:
-                wait = max(0.0, self._clock.wall() - job.since)
-                self._failures.ran_on(key, task.machine)
+                self._withdraw(key, notify_owner=not is_shown)
+            if is_shown and job is not None and job.record is not None:
+                waited_s = max(0.0, self._clock.wall() - job.since)
+                self._failures.record_machine(key, task.machine)
                 if task.attempt == 1:
-                    self._metrics.start_wait.observe(wait)
+                    self._metrics.start_wait.observe(waited_s)
                 self._decisions.write(
                     Decision(
                         Action.BIND,
@@ -391,7 +393,7 @@
                         f"{key[0]}/{key[1]}",
                         task.attempt,
                         task.machine,
-                        waited_s=wait,
+                        waited_s=waited_s,
                     )
                 )
         self._wake.set()
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -1,4 +1,7 @@
-"""What PROTOCOL allows: zones, limits, guarantees. Plain functions over the replica."""
+"""Placement rules of PROTOCOL (zones, limits, guarantees) and the queue order of jobs.
+
+Plain functions over the replica.
+"""
 
 from collections import Counter
 from typing import NamedTuple
@@ -19,7 +22,7 @@
 
 
 def zones_used(machines: list[str], zone_of: dict[str, str]) -> Counter[str]:
-    """Where a job's tasks are, counting everything not proved gone."""
+    """Counts a job's tasks by zone, including all that are not proved gone."""
     return Counter(zone_of.get(machine, "?") for machine in machines)
 
 
@@ -57,34 +60,36 @@
 
 
 def guaranteed_jobs(jobs: list[Job], teams: dict[str, Team]) -> set[str]:
-    """Jobs that fit into their team's guarantee with the team's earlier unfinished ones."""
+    """Jobs that fit into their team's guarantee together with its earlier unfinished jobs."""
     used: dict[str, Amount] = {}
-    inside = set()
+    guaranteed = set()
     for job in sorted(jobs, key=lambda j: (j.since, j.id)):
         spec = job.spec
         if spec is None or spec.team not in teams:
             continue
-        whole = (spec.cpus * spec.tasks, spec.gpus * spec.tasks)
-        after = add(used.get(spec.team, (0.0, 0.0)), whole)
-        used[spec.team] = after
-        if within_guarantee(teams[spec.team], after):
-            inside.add(job.id)
-    return inside
+        job_total = (spec.cpus * spec.tasks, spec.gpus * spec.tasks)
+        used_after = add(used.get(spec.team, (0.0, 0.0)), job_total)
+        used[spec.team] = used_after
+        if within_guarantee(teams[spec.team], used_after):
+            guaranteed.add(job.id)
+    return guaranteed
 
 
 def turn(
     job: Job, objectives: list[Objective], wall: float, policy: Policy | None = None
 ) -> tuple[int, float]:
-    """A job's turn among those of its priority: smaller goes first.
-
-    First, how many of its aims can no longer be met: where not all can be served in time, room
-    given to one that is late anyway makes another late too. Then, for arrays, how much work
-    still waits: the most jobs are done in time when the short ones go first; for services, the
-    part of their copies that there is: each second of each missing one counts alike, but who has
-    none left, after a zone was lost, serves nobody. The jobs of a
-    pipeline are short and others wait for them: they go first among equals, and of them the one
-    that must start soonest for the deadlines behind it (`starts_by`). Operators may put another
-    measure in the place of the second (`order`).
+    """Rank of a job among those of its priority; smaller goes first.
+
+    The first element is the number of objectives that the job can no longer meet: if capacity does
+    not suffice for all, giving it to a job that is late anyway makes another one late too. For a
+    job of a pipeline it also counts a missed latest start.
+
+    The second depends on the kind of job. For arrays it is the work that still waits, since most
+    jobs are done in time if short ones go first. For services it is the share of copies that are
+    bound: each missing copy counts alike, but a service without any copy, as after the loss of a
+    zone, serves nobody. Jobs of a pipeline are short and block others, so they go first among
+    equals, ordered by the latest start that meets the deadlines behind them (`starts_by`). An
+    operator's `order` expression replaces the second element.
     """
     spec, record = job.spec, job.record
     if spec is None or record is None:
@@ -92,93 +97,103 @@
     if spec.kind == "service":
         return 0, job.bound / spec.tasks
     age = wall - job.since
-    missed = 0
+    missed_objectives = 0
     for objective in objectives:
         if objective.klass != spec.klass:
             continue
         if objective.kind == "wait" and objective.within_s is not None:
-            missed += age > objective.within_s
+            missed_objectives += age > objective.within_s
         elif objective.kind == "finished" and objective.within_s is not None:
-            missed += age + spec.estimate_s > objective.within_s
+            missed_objectives += age + spec.estimate_s > objective.within_s
         elif objective.kind == "deadline" and spec.deadline_s is not None:
             latest = record.at + spec.deadline_s * (objective.times or 1.0)
-            missed += wall + spec.estimate_s > latest
-    aimed_at = any(objective.klass == spec.klass for objective in objectives)
-    if spec.kind == "array" and age > c.BEGIN_S and aimed_at and not job.has_begun:
-        return 0, c.CHAIN_WORK  # the shortest first left the longest without a single start
-    left = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
+            missed_objectives += wall + spec.estimate_s > latest
+    has_objective = any(objective.klass == spec.klass for objective in objectives)
+    if spec.kind == "array" and age > c.BEGIN_S and has_objective and not job.has_begun:
+        return 0, c.CHAIN_WORK  # shortest first left the longest without a single start
+    remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
     if policy is not None and policy.decides("order"):
-        return missed, policy.value("order", _described(job, spec, age, left))
+        return missed_objectives, policy.value(
+            "order", _policy_inputs(job, spec, age, remaining_work_s)
+        )
     if job.chained:
-        # One that is late anyway lets others go first, unless it is so small that they lose
-        # nothing: gangs of two waited 38 s behind arrays that later pipelines had brought.
-        late = missed + (wall > starts_by(job)) if left > c.CHAIN_SMALL_S else 0
-        return late, c.CHAIN_WORK
-    return missed, 0.0 if spec.kind == "gang" else left
+        # A late job yields to others, unless it is so small that they lose nothing: otherwise gangs
+        # of two tasks waited 38 s behind arrays that belong to later pipelines.
+        missed_count = (
+            missed_objectives + (wall > starts_by(job)) if remaining_work_s > c.CHAIN_SMALL_S else 0
+        )
+        return missed_count, c.CHAIN_WORK
+    return missed_objectives, 0.0 if spec.kind == "gang" else remaining_work_s
 
 
-class Turn(NamedTuple):
-    """Smaller goes first."""
+class QueueRank(NamedTuple):
+    """Position in an owner's queue among requests of equal priority; smaller goes first."""
 
-    missed: int  # aims of its job that can no longer be met
-    work: float  # by the kind of job: see `turn`
-    at: float  # time of day: when its job came, or has to start
+    missed_objectives: int  # objectives that the job can no longer meet
+    waiting_work: float  # depends on the kind of job, see `turn`
+    tiebreak_time: float  # wall clock: when the job became ready, or must start by
 
 
-def task_turn(spec: r.JobSpec, turn: Turn, ahead: int) -> Turn:
-    """The turn of one waiting task, `ahead`: of how many of its job's there will be before it.
+def task_rank(spec: r.JobSpec, rank: QueueRank, ahead: int) -> QueueRank:
+    """Rank of one waiting task; `ahead` is the number of its job's tasks before it.
 
-    The copies of a service that wait at once are not equal: of forty services each has its first
-    before one has its second. With one turn for all of them, whoever was accepted first had six
-    copies, and others none for seconds (docs/incidents/services-without-a-copy.md).
+    Copies of one service that wait at the same time get different ranks, so that each of forty
+    services gets its first copy before one gets its second. With equal ranks, the services accepted
+    first had six copies while others had none for seconds
+    (docs/incidents/services-without-a-copy.md).
     """
     if spec.kind != "service":
-        return turn
-    return turn._replace(work=ahead / spec.tasks)
+        return rank
+    return rank._replace(waiting_work=ahead / spec.tasks)
 
 
 def can_lose(job: Job, objectives: list[Objective], wall: float) -> bool:
-    """Whether a stopped task would make its job miss an aim that it can still meet."""
+    """Whether stopping a task would make its job miss an objective that can still be met."""
     spec, record = job.spec, job.record
     if spec is None or record is None:
         return False
-    ends = [job.due] if job.due < float("inf") else []
+    deadlines_s = [job.due] if job.due < float("inf") else []
     for objective in objectives:
         if objective.klass != spec.klass:
             continue
         if objective.kind == "finished" and objective.within_s is not None:
-            ends.append(job.since + objective.within_s)
+            deadlines_s.append(job.since + objective.within_s)
         elif objective.kind == "deadline" and spec.deadline_s is not None:
-            ends.append(record.at + spec.deadline_s * (objective.times or 1.0))
-    # Running tasks are on average half done; what is left is no more than the estimate.
-    left = [end - wall - spec.estimate_s / 2 for end in ends]
-    return any(0 <= slack < c.RESTART_S for slack in left)
+            deadlines_s.append(record.at + spec.deadline_s * (objective.times or 1.0))
+    # Running tasks are half done on average; the estimate is the upper bound of what is left.
+    slacks_s = [end - wall - spec.estimate_s / 2 for end in deadlines_s]
+    return any(0 <= slack_s < c.RESTART_S for slack_s in slacks_s)
 
 
-def _described(job: Job, spec: r.JobSpec, age_s: float, left_s: float) -> dict[str, Value]:
+def _policy_inputs(
+    job: Job, spec: r.JobSpec, age_s: float, remaining_work_s: float
+) -> dict[str, Value]:
     return {
         "kind": spec.kind,
         "job_class": spec.klass,
         "team": spec.team,
         "age_s": age_s,
         "estimate_s": spec.estimate_s,
-        "waiting_work_s": left_s,
+        "waiting_work_s": remaining_work_s,
         "waiting_tasks": float(spec.tasks - job.done - job.bound),
     }
 
 
 def starts_by(job: Job) -> float:
-    """Wall clock by which a job should start for its own and later deadlines; else its coming."""
+    """Wall clock by which a job should start for its own and later deadlines.
+
+    For jobs without such a deadline: when the job became ready.
+    """
     return job.due - job.estimate_s if job.chained and job.due < float("inf") else job.since
 
 
 def aimed(objectives: list[Objective]) -> set[str]:
-    """Classes for which somebody has said by when."""
+    """Job classes that have an objective for waiting time, completion time or deadline."""
     return {o.klass for o in objectives if o.klass and o.kind in ("wait", "finished", "deadline")}
 
 
 def idle_time(spec: r.JobSpec, aimed_classes: set[str]) -> bool:
-    """Work of the lowest priority that may use spot and for which nobody has said by when."""
+    """Whether it is idle-time work: lowest priority, may use spot, no deadline or objective."""
     return (
         spec.spot
         and spec.priority == 0
