--- a/pulleydeal/credits/making.py
+++ b/pulleydeal/credits/making.py
@@ -71,7 +71,7 @@
         for task_id, entry in station.entries.items():
             job = self._replica.jobs.get(task_id[0])
             if task_id not in bound and entry.state != "exited" and job and job.spec:
-                # Unbound, but it uses capacity until it is killed.
+                # No longer bound, but it uses capacity until it is killed.
                 room.take(resources_needed(job.spec))
         for task_id, need in held:
             if task_id not in bound:
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -86,6 +86,7 @@
 
 
 def is_allowed(credit: Credit, request: CreditRequest) -> bool:
+    """Whether the task may use the machine, regardless of free capacity."""
     return (
         (not request.types or credit.type in request.types)
         and credit.zone in request.zones
--- a/pulleydeal/decisions.py
+++ b/pulleydeal/decisions.py
@@ -54,6 +54,8 @@
 
 
 class DecisionLog:
+    """Logs decisions, and counts them by action and verdict."""
+
     def __init__(
         self, membership: Membership, store: Store, clock: Clock, metrics: Metrics
     ) -> None:
--- a/pulleydeal/placement/parts.py
+++ b/pulleydeal/placement/parts.py
@@ -13,6 +13,7 @@
 
 
 def is_suitable(spec: r.JobSpec, total: Total) -> bool:
+    """Whether the job may run on machines of this kind."""
     return (spec.spot or not total.spot) and (spec.types is None or total.type in spec.types)
 
 
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -18,6 +18,7 @@
 
 
 def spread_limit(tasks: int) -> int:
+    """Maximum number of a spread job's tasks in one zone."""
     return (tasks + 1) // 2
 
 
@@ -27,6 +28,7 @@
 
 
 def zones_allowed(spec: r.JobSpec, used: Counter[str], zones: list[str]) -> list[str]:
+    """Zones where another task of the job may run; for a spread job, least used zones first."""
     options = [spec.zone] if spec.zone else list(zones)
     if spec.one_zone and used:
         options = [z for z in options if used[z] == used.total()]
@@ -203,4 +205,5 @@
 
 
 def error_backoff_s(fails: int) -> float:
+    """Exponential back-off before a task that failed `fails` times is tried again."""
     return min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2.0 ** min(fails - 1, 10))
