--- a/pulleydeal/store/rate.py
+++ b/pulleydeal/store/rate.py
@@ -1,4 +1,4 @@
-"""Budgets by the second, and who may spend next when there is less than all want."""
+"""Rate limiting: a token bucket, and a scheduler that orders writes by priority."""
 
 import asyncio
 from collections import deque
@@ -9,115 +9,118 @@
 
 
 class Turn(IntEnum):
-    """Whose writes go first when the state service takes fewer than there are."""
+    """Priority of a write; lower values go first when the write rate is exhausted."""
 
-    FIRST = 0  # what users wait for, and who is a member: few, and may overdraw a little
-    WORK = 1  # bindings, ends, stops: in the order of coming
-    LATER = 2  # what nobody waits for; after a while it has its turn all the same
+    FIRST = 0  # user requests and membership: few, and may overdraw a little
+    WORK = 1  # bindings, task ends and stops, in order of arrival
+    LATER = 2  # background writes; they go first once they have waited WRITE_PATIENCE_S
 
 
 class Rate:
-    """A token bucket for one kind of budget; urgent callers may overdraw a little."""
+    """A token bucket that holds at most one second's tokens; urgent callers may overdraw it."""
 
     def __init__(self, per_s: float, clock: Clock) -> None:
         self._per_s = per_s
         self._clock = clock
-        self._have = per_s
-        self._at = clock.now()
+        self._tokens = per_s
+        self._refilled_at = clock.now()
 
     def set(self, per_s: float) -> None:
         self._per_s = per_s
 
     def _refill(self) -> None:
         now = self._clock.now()
-        self._have = min(self._per_s, self._have + (now - self._at) * self._per_s)
-        self._at = now
+        self._tokens = min(self._per_s, self._tokens + (now - self._refilled_at) * self._per_s)
+        self._refilled_at = now
 
-    def _floor(self, urgent: bool) -> float:
+    def _min_tokens(self, urgent: bool) -> float:
         return -self._per_s / 2 if urgent else 0.0
 
     def take(self, amount: float, urgent: bool) -> float:
-        """Takes `amount` and returns 0, or takes nothing and returns how long to wait."""
+        """Takes `amount` tokens and returns 0, or takes none and returns the seconds to wait.
+
+        A full bucket grants any amount.
+        """
         self._refill()
-        floor = self._floor(urgent)
-        if self._have - amount >= floor or self._have >= self._per_s:
-            self._have -= amount
+        min_tokens = self._min_tokens(urgent)
+        if self._tokens - amount >= min_tokens or self._tokens >= self._per_s:
+            self._tokens -= amount
             return 0.0
-        return max(c.WRITE_LOOK_MIN_S, (floor + amount - self._have) / self._per_s)
+        return max(c.WRITE_LOOK_MIN_S, (min_tokens + amount - self._tokens) / self._per_s)
 
     def pause(self, urgent: bool) -> float:
-        """How long until something may be spent."""
+        """Seconds until one token may be spent."""
         self._refill()
-        short = self._floor(urgent) + 1.0 - self._have
-        return max(c.WRITE_LOOK_MIN_S, short / self._per_s) if short > 0 else 0.0
+        missing = self._min_tokens(urgent) + 1.0 - self._tokens
+        return max(c.WRITE_LOOK_MIN_S, missing / self._per_s) if missing > 0 else 0.0
 
     def wait_s(self, ahead: int) -> float:
-        """How long an urgent spender of one waits behind `ahead` others like it."""
+        """Seconds until an urgent caller may spend one token after `ahead` others have."""
         self._refill()
-        return max(0.0, (self._floor(True) + 1.0 + ahead - self._have) / self._per_s)
+        return max(0.0, (self._min_tokens(True) + 1.0 + ahead - self._tokens) / self._per_s)
 
     @property
     def per_s(self) -> float:
         return self._per_s
 
     def spend(self, amount: float) -> None:
-        """Takes `amount` whatever is left; those who come next wait until it is paid back."""
+        """Takes `amount` tokens unconditionally; later callers wait until the debt is repaid."""
         self._refill()
-        self._have -= amount
+        self._tokens -= amount
 
 
 class WriteScheduler:
-    """Lets writers through one by one, as the budget allows; what it costs is known only then.
+    """Admits writers one at a time as the write rate allows; each is charged once admitted.
 
-    Each works out what to write when its turn comes, so that all that has gathered goes into one
-    transaction. When writers polled the budget instead, those that needed more at once never
-    found enough: arrays of seven chunks waited minutes for a binding.
+    A writer builds its transaction when admitted, so that all changes gathered by then share it
+    and only then is its cost known. When writers polled the bucket instead, those that needed
+    several tokens at once never found enough: arrays of seven chunks waited minutes for a binding.
     """
 
     def __init__(self, rate: Rate, clock: Clock) -> None:
         self._rate = rate
         self._clock = clock
-        self._waiting: dict[Turn, deque[tuple[float, asyncio.Future[None]]]] = {
+        self._queues: dict[Turn, deque[tuple[float, asyncio.Future[None]]]] = {
             turn: deque() for turn in Turn
         }
-        self._pump: asyncio.Task[None] | None = None
-        self._last = Turn.WORK
+        self._dispatcher: asyncio.Task[None] | None = None
+        self._last_turn = Turn.WORK
 
     async def wait(self, turn: Turn) -> None:
-        """Returns when it is the caller's turn; it spends before it awaits anything else."""
+        """Returns when the caller is admitted. It must spend before awaiting anything else."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting[turn].append((self._clock.now(), future))
-        if self._pump is None or self._pump.done():
-            self._pump = asyncio.ensure_future(self._run())
+        self._queues[turn].append((self._clock.now(), future))
+        if self._dispatcher is None or self._dispatcher.done():
+            self._dispatcher = asyncio.ensure_future(self._dispatch())
         await future
 
-    def _next(self) -> Turn | None:
-        later = self._waiting[Turn.LATER]
-        if later and self._clock.now() - later[0][0] > c.WRITE_PATIENCE_S:
+    def _next_turn(self) -> Turn | None:
+        background = self._queues[Turn.LATER]
+        if background and self._clock.now() - background[0][0] > c.WRITE_PATIENCE_S:
             return Turn.LATER
-        # A crowd of users always has one who waits: without every second turn nothing that
-        # they submitted would start while it lasts.
-        if self._work_starves() and self._last is Turn.FIRST:
+        # Under heavy user load a FIRST write is always waiting. Without every second turn for
+        # WORK, no submitted task would start while the load lasts.
+        if self._is_work_starving() and self._last_turn is Turn.FIRST:
             return Turn.WORK
-        return next((turn for turn, queue in self._waiting.items() if queue), None)
+        return next((turn for turn, queue in self._queues.items() if queue), None)
 
-    def _work_starves(self) -> bool:
-        work = self._waiting[Turn.WORK]
-        return bool(work) and self._clock.now() - work[0][0] > c.WRITE_PATIENCE_S
+    def _is_work_starving(self) -> bool:
+        queue = self._queues[Turn.WORK]
+        return bool(queue) and self._clock.now() - queue[0][0] > c.WRITE_PATIENCE_S
 
     def first_wait_s(self) -> float:
-        """How long a writer that goes first would wait if it came now."""
-        wait = self._rate.wait_s(len(self._waiting[Turn.FIRST]))
-        return 2 * wait if self._work_starves() else wait
+        """How long a FIRST writer that came now would wait."""
+        wait = self._rate.wait_s(len(self._queues[Turn.FIRST]))
+        return 2 * wait if self._is_work_starving() else wait
 
-    async def _run(self) -> None:
-        while (turn := self._next()) is not None:
+    async def _dispatch(self) -> None:
+        while (turn := self._next_turn()) is not None:
             pause = self._rate.pause(turn is Turn.FIRST)
             if pause > 0:
-                await asyncio.sleep(min(pause, c.WRITE_LOOK_S))  # one that goes first may come
+                await asyncio.sleep(min(pause, c.WRITE_LOOK_S))  # a FIRST writer may come meanwhile
                 continue
-            _, future = self._waiting[turn].popleft()
+            _, future = self._queues[turn].popleft()
             if not future.done():
-                self._last = turn
+                self._last_turn = turn
                 future.set_result(None)
-                await asyncio.sleep(0)  # it spends now, before the next is let through
+                await asyncio.sleep(0)  # it spends now, before the next one is admitted
--- a/tests/test_rate.py
+++ b/tests/test_rate.py
@@ -1,4 +1,4 @@
-"""Whose writes go first, and that none starves, by a virtual clock."""
+"""Order of writes under a limited rate, and that none starves; run on a virtual clock."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from standins.script import LoopClock, virtually
 
 
-def test_a_large_write_has_its_turn_among_many_small_ones() -> None:
+def test_large_write_is_not_starved_by_small_ones() -> None:
     order: list[str] = []
 
     async def work(clock: LoopClock) -> None:
@@ -32,7 +32,7 @@
     virtually(work)
 
 
-def test_users_go_first_and_what_nobody_waits_for_still_has_its_turn() -> None:
+def test_user_writes_go_first_and_background_writes_are_not_starved() -> None:
     order: list[str] = []
 
     async def work(clock: LoopClock) -> None:
@@ -56,7 +56,7 @@
     virtually(work)
 
 
-def test_the_announced_rate_is_taken_up_once_writes_are_refused() -> None:
+def test_announced_write_rate_applies_after_repeated_refusals() -> None:
     class Clock:
         at = 0.0
 
@@ -69,14 +69,14 @@
     limits = StateLimits(200.0, 90.0, 8.0, 24, NextLimits(45.0, None, None))
     client = StateClient("127.0.0.1:1", clock, limits, 3)
     for _ in range(c.REFUSED_WRITES * 3):
-        client._note_refused_write()
-        clock.at += c.REFUSED_WRITES_S  # a burst of one's own now and then
+        client._record_refused_write()
+        clock.at += c.REFUSED_WRITES_S  # single refusals, each in a window of its own
     assert client._write_rps == pytest.approx(90.0 * c.WRITE_SHARE)
     for _ in range(c.REFUSED_WRITES):
         clock.at += 0.2
-        client._note_refused_write()
+        client._record_refused_write()
     assert client._write_rps == pytest.approx(45.0 * c.WRITE_SHARE)
-    without = StateClient("127.0.0.1:1", clock, StateLimits(200.0, 90.0, 8.0, 24), 3)
+    without_announcement = StateClient("127.0.0.1:1", clock, StateLimits(200.0, 90.0, 8.0, 24), 3)
     for _ in range(c.REFUSED_WRITES):
-        without._note_refused_write()
-    assert without._write_rps == pytest.approx(90.0 * c.WRITE_SHARE)
+        without_announcement._record_refused_write()
+    assert without_announcement._write_rps == pytest.approx(90.0 * c.WRITE_SHARE)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The replica's bookkeeping, and jobs of every size from first binding to one slim record."""
+"""Replica indexes, job drafts from the first binding to the slim record, and write rate sharing."""
 
 import random
 
@@ -69,7 +69,7 @@
 
 
 def stopped(index: int) -> object:
-    """Makes the record as long as it can get: both reasons in full."""
+    """Makes the stored task as long as possible: both reasons as full sentences."""
 
     def mutate(draft: Draft) -> None:
         apply_stop(draft, index, 1, "x" * 200)
@@ -80,7 +80,7 @@
     return mutate
 
 
-def test_changes_of_one_moment_are_one_write_and_the_last_end_makes_the_job_done() -> None:
+def test_concurrent_changes_share_one_write_and_the_last_task_end_completes_the_job() -> None:
     store = Store(3)
     draft = store.change(bind(0), bind(1), bind(2))
     assert list(draft.puts) == ["p/c/j-1/0000"] and store.job.bound == 3
@@ -91,7 +91,7 @@
     assert store.job.record == r.JobRecord("done", 3, ended=5.0) and store.replica.bound == {}
 
 
-def test_proof_of_an_earlier_attempt_changes_nothing() -> None:
+def test_exit_of_an_earlier_attempt_is_ignored() -> None:
     store = Store(1)
     store.change(bind(0))
     store.change(ended(0, "lost"))
@@ -100,19 +100,19 @@
     assert store.job.bound == 1
 
 
-def test_a_gang_is_done_when_one_is_and_stopped_as_a_whole() -> None:
+def test_gang_completes_with_its_first_done_task_and_stops_as_a_whole() -> None:
     store = Store(3, "gang")
     store.change(bind(0), bind(1), bind(2))
     store.change(lambda draft: apply_stop(draft, 1, 1, "a drain"))
     assert [task.stop for _, task in store.job.bindings()] == [short("a drain")] * 3
     store.change(ended(1, "done"))
     assert store.job.record is not None and store.job.record.status == "done"
-    assert store.job.bound == 2  # their machines are not proved free yet
+    assert store.job.bound == 2  # their exits are not proved yet
     store.change(ended(0, "done"), ended(2, "done"))
     assert store.job.spec is None
 
 
-def test_a_cancelled_job_stays_until_all_its_tasks_are_gone() -> None:
+def test_cancelled_job_keeps_its_spec_until_all_tasks_are_gone() -> None:
     def cancel(draft: Draft) -> None:
         draft.status = "cancelled"
 
@@ -124,7 +124,7 @@
     assert store.job.record == r.JobRecord("cancelled", 2, ended=5.0)
 
 
-def test_a_job_of_100_000_tasks_stays_within_every_limit() -> None:
+def test_job_of_100_000_tasks_stays_within_all_limits() -> None:
     store = Store(100_000)
     steps = 0
     most_chunks = LIMITS.ops - 1
@@ -143,7 +143,7 @@
     assert store.job.chunks == {} and store.replica.bound == {}
 
 
-def test_last_ends_written_at_the_same_moment_still_end_the_job() -> None:
+def test_job_completes_when_its_last_task_ends_are_committed_concurrently() -> None:
     store = Store(c.CHUNK_TASKS + 1)
     store.change(*(bind(index) for index in range(c.CHUNK_TASKS + 1)))
     store.change(*(ended(index, "done") for index in range(1, c.CHUNK_TASKS)))
@@ -151,17 +151,17 @@
     for draft, index in zip(drafts, (0, c.CHUNK_TASKS), strict=True):
         ended(index, "done")(draft)  # type: ignore[operator]
         draft.finish()
-    # Each is conditional on the job's mark and its own chunk's: both go through.
+    # Each is conditional on the versions of the job and of its own chunk, so both succeed.
     chunks = [{key for key in draft.conditions if key.startswith("p/c/")} for draft in drafts]
     assert not chunks[0] & chunks[1]
     for draft in drafts:
         store.write(draft.puts, draft.deletes)
     assert store.job.is_open and store.job.done == c.CHUNK_TASKS + 1
-    store.change()  # as the leader does when it sees that
+    store.change()  # the leader does this when it sees all tasks done
     assert store.job.record == r.JobRecord("done", c.CHUNK_TASKS + 1, ended=5.0)
 
 
-def counted_anew(replica: Replica) -> dict[str, tuple[float, float]]:
+def recounted_usage(replica: Replica) -> dict[str, tuple[float, float]]:
     used: dict[str, tuple[float, float]] = {}
     for on_machine in replica.bound.values():
         for job, _ in on_machine:
@@ -172,7 +172,7 @@
     return used
 
 
-def test_the_kept_usage_is_what_a_new_count_gives() -> None:
+def test_incremental_usage_equals_a_recount() -> None:
     rng = random.Random(5)
     store = Store(90)
     for _ in range(200):
@@ -184,50 +184,50 @@
         elif not task.done:
             store.change(bind(index, "vm-000001"))
         used = {t: u for t, u in store.replica.usage().items() if u != (0.0, 0.0)}
-        assert used == counted_anew(store.replica)
+        assert used == recounted_usage(store.replica)
     assert store.job.bound > 0
 
 
-def test_chunks_that_are_read_before_their_job_count_once_it_is_known() -> None:
+def test_chunks_loaded_before_their_job_are_counted_once_it_is_loaded() -> None:
     spec = r.JobSpec("j-1", "c", "core", "array", 1, 2, 2.0, 1.0, 1.0, "img", 1.0)
     chunk, job = r.chunk_key("j-1", 0), r.job_key("j-1")
     tasks = [r.Task("vm-1", 1), r.Task("vm-2", 1)]
     values = {chunk: tasks, job: r.JobRecord("open", 2, 0.0, spec)}
     items = [m.Entry(k, msgspec.Raw(msgspec.json.encode(v)), 1) for k, v in values.items()]
     replica = Replica()
-    told: list[tuple[str, str]] = []
-    replica.listen(lambda kind, name: told.append((kind, name)))
+    notified: list[tuple[str, str]] = []
+    replica.listen(lambda kind, name: notified.append((kind, name)))
     replica.load(items)
     replica.end_load(1)
     assert replica.usage() == {"core": (4.0, 2.0)}
-    assert {name for kind, name in told if kind == "bound"} == {"vm-1", "vm-2"}
+    assert {name for kind, name in notified if kind == "bound"} == {"vm-1", "vm-2"}
 
 
-def test_only_machines_whose_bindings_changed_are_told() -> None:
+def test_listeners_are_notified_only_of_machines_with_changed_bindings() -> None:
     store = Store(3)
     for index in range(3):
         store.change(bind(index, f"vm-{index}"))
-    told: list[tuple[str, str]] = []
-    store.replica.listen(lambda kind, name: told.append((kind, name)))
+    notified: list[tuple[str, str]] = []
+    store.replica.listen(lambda kind, name: notified.append((kind, name)))
     proof = Exit("j-1", 1, 1, "vm-1", "done", "")
     store.change(lambda draft: apply_exit(draft, proof))
-    assert told == [("job", "j-1"), ("bound", "vm-1")]
+    assert notified == [("job", "j-1"), ("bound", "vm-1")]
 
 
-def test_an_own_delete_is_not_undone_by_the_watch_catching_up() -> None:
+def test_delayed_watch_event_does_not_undo_own_delete() -> None:
     replica = Replica()
     replica.loaded = True
     record = msgspec.json.encode(r.MachineRecord("up", "t4", "east", False))
     replica.committed({}, ["p/m/vm-1"], 7)
-    late = m.Event(5, "p/m/vm-1", None, msgspec.Raw(record))
-    replica.apply(m.Changes(5, [late]))
+    delayed = m.Event(5, "p/m/vm-1", None, msgspec.Raw(record))
+    replica.apply(m.Changes(5, [delayed]))
     assert replica.machines == {}
     newer = m.Event(8, "p/m/vm-1", None, msgspec.Raw(record))
     replica.apply(m.Changes(8, [newer]))
     assert list(replica.machines) == ["vm-1"]
 
 
-def test_an_older_value_never_replaces_a_newer_one() -> None:
+def test_older_version_never_replaces_a_newer_one() -> None:
     replica = Replica()
     replica.loaded = True
     for version, state in ((4, "drain"), (3, "up")):
@@ -236,7 +236,7 @@
     assert replica.machines["vm-1"].record.state == "drain"
 
 
-def test_a_quiet_nodes_write_rate_is_lent_and_an_unheard_ones_is_not() -> None:
+def test_write_rate_of_idle_nodes_is_shared_but_not_that_of_unreachable_ones() -> None:
     now = [0.0]
 
     class Clock:
@@ -248,15 +248,15 @@
 
     limits = StateLimits(200.0, 90.0 / c.WRITE_SHARE, 8.0, 24)
 
-    def written(others: list[float | None]) -> int:
+    def writes_in_one_second(others: list[float | None]) -> int:
         client = StateClient("127.0.0.1:1", Clock(), limits, 3)
-        client._writes.take(1e9, True)  # the burst is spent
+        client._write_rate.take(1e9, True)  # use up the burst
         client.share_writes(others)
         now[0] += 1e9
-        client._writes.take(30.0, False)
+        client._write_rate.take(30.0, False)
         now[0] += 1.0
-        return sum(client._writes.take(1.0, False) == 0 for _ in range(200))
+        return sum(client._write_rate.take(1.0, False) == 0 for _ in range(200))
 
-    assert written([None, None]) == 30
-    assert written([0.0, 0.0]) == int(90 - 2 * 30 * c.LEND_KEEP)
-    assert written([30.0, 30.0]) == 30  # all are busy: each has its share
+    assert writes_in_one_second([None, None]) == 30
+    assert writes_in_one_second([0.0, 0.0]) == int(90 - 2 * 30 * c.LEND_KEEP)
+    assert writes_in_one_second([30.0, 30.0]) == 30  # all nodes are busy: each keeps its share
