--- a/pulleydeal/store/job.py
+++ b/pulleydeal/store/job.py
@@ -1,4 +1,4 @@
-"""A job as the replica shows it: its record, its tasks, and what follows from other jobs."""
+"""A job in the replica: its record, its tasks, and what is derived from other jobs."""
 
 from collections.abc import MutableSet
 from dataclasses import dataclass, field
@@ -6,11 +6,13 @@
 from pulleydeal import constants as c
 from pulleydeal.store import records as r
 
-NOBODY: MutableSet[str] = set()  # shared by all jobs that wait on none; never changed
+NO_BLOCKERS: MutableSet[str] = set()  # shared by all jobs without dependencies; never modified
 
 
 @dataclass(slots=True)
 class Chunk:
+    """The state of up to CHUNK_TASKS consecutive tasks of a job."""
+
     version: int
     tasks: list[r.Task]
     waiting: int = 0  # tasks neither bound nor done
@@ -21,22 +23,23 @@
     id: str
     version: int = 0
     record: r.JobRecord | None = None
-    # The description with the priority that counts, the highest of all that need this job; None
-    # once it is over and all its tasks are gone. `record.spec` is what its user submitted.
+    # The submitted spec (`record.spec`) with the effective priority, that is the highest of this
+    # job and its dependents. None once the job is over and all its tasks are gone.
     spec: r.JobSpec | None = None
     chunks: dict[int, Chunk] = field(default_factory=dict)
-    done: int = 0  # tasks done
-    on_machines: dict[int, r.Task] = field(default_factory=dict)  # not proved gone
-    last_stop: str = ""  # why one of its tasks was last stopped
-    # What follows from the jobs that it waits on, and from those that wait on it (pipelines.py):
-    waits_on: list[str] | None = None  # None: on none, or over
-    linked: bool = False
-    chained: bool = False  # waits on another, or another on it
-    blockers: MutableSet[str] = field(default_factory=lambda: NOBODY)  # needed and not yet done
-    doomed: bool = False  # needs a cancelled one: cancelled, though its own record may not say so
-    since: float = 0.0  # wall clock from which its times count: accepted, and nothing to wait for
+    done: int = 0  # number of tasks done
+    on_machines: dict[int, r.Task] = field(default_factory=dict)  # bound, not proved gone
+    last_stop: str = ""  # why one of its tasks was last stopped or ended
+    # Derived from the jobs that it waits on and those that wait on it (pipelines.py):
+    waits_on: list[str] | None = None  # None: no dependencies, or over
+    linked: bool = False  # registered with its dependencies
+    chained: bool = False  # has had dependencies or dependents
+    blockers: MutableSet[str] = field(default_factory=lambda: NO_BLOCKERS)  # dependencies not done
+    # A dependency was cancelled, so this job counts as cancelled; its own record may not say so.
+    dependency_cancelled: bool = False
+    since: float = 0.0  # wall clock: accepted, and last dependency done; waiting counts from here
     priority: int = 0
-    due: float = float("inf")  # wall clock by which it should end for all deadlines behind it
+    due: float = float("inf")  # wall clock: latest end for its own and its dependents' deadlines
 
     @property
     def status(self) -> str:
@@ -48,30 +51,30 @@
 
     @property
     def is_cancelled(self) -> bool:
-        return self.doomed or self.status == "cancelled"
+        return self.dependency_cancelled or self.status == "cancelled"
 
     @property
     def is_open(self) -> bool:
-        return self.status == "open" and not self.doomed
+        return self.status == "open" and not self.dependency_cancelled
 
     @property
     def has_begun(self) -> bool:
-        """Whether a task of it was ever started, as far as its records tell."""
+        """Whether any of its tasks was ever started, as far as its records show."""
         return bool(self.on_machines or self.done or self.last_stop)
 
     @property
     def is_over(self) -> bool:
-        """Done or cancelled, which never changes any more."""
+        """Done or cancelled, which is final."""
         return self.is_cancelled or self.status == "done"
 
     @property
     def untold(self) -> bool:
-        """Cancelled durably, and told to nobody yet: a cut-off node may keep its tasks."""
+        """Cancelled durably but not yet reported: a partitioned node may still run its tasks."""
         return self.record is not None and self.record.untold
 
     @property
     def is_ready(self) -> bool:
-        """Open, and all jobs that it needs are durably done."""
+        """Open, and all its dependencies are durably done."""
         return self.is_open and not self.blockers
 
     @property
@@ -90,14 +93,14 @@
 
     @property
     def fails(self) -> int:
-        """How often its tasks failed, on whatever machines."""
+        """Failures of all its tasks, on any machine."""
         return sum(task.fails for chunk in self.chunks.values() for task in chunk.tasks)
 
     def bindings(self) -> list[tuple[int, r.Task]]:
         return list(self.on_machines.items())
 
     def waiting(self, most: int) -> list[int]:
-        """The first tasks that are neither bound nor done; chunks without any are skipped."""
+        """Indexes of the first `most` tasks neither bound nor done; skips chunks without any."""
         if self.spec is None:
             return []
         found: list[int] = []
--- a/pulleydeal/store/pipelines.py
+++ b/pulleydeal/store/pipelines.py
@@ -1,9 +1,10 @@
-"""Which jobs wait for which: kept up to date where records change, never by looking at all jobs.
+"""Dependencies between jobs, updated as job records change, without scanning all jobs.
 
-Whether a job waits, is cancelled with one that it needs, from when its times count, and how much
-it matters to those that need it all follow from records that are durable, so every node, also one
-that has just started, works out the same. `done` and `cancelled` never change, and what a job
-waits on never does, so neither do the answers that rest on them.
+Whether a job is blocked, whether it is cancelled because of a dependency, when its waiting time
+begins, and the priority and deadline that it inherits from its dependents follow from durable
+records alone. So every node, also one that has just started, derives the same values. The states
+`done` and `cancelled` are final and a job's dependencies never change, so what is derived from
+them is final too.
 """
 
 from collections import deque
@@ -15,12 +16,14 @@
 
 
 class Pipelines:
+    """Maintains the derived fields of jobs that depend on each other."""
+
     def __init__(self, jobs: dict[str, Job]) -> None:
         self._jobs = jobs
-        self._needed_by: dict[str, set[str]] = {}  # of jobs that are open: who waits on whom
+        self._dependents: dict[str, set[str]] = {}  # job -> open jobs that wait on it
 
-    def changed(self, job: Job) -> set[str]:
-        """Takes in a job's new record; returns the other jobs that it changed."""
+    def update(self, job: Job) -> set[str]:
+        """Applies a job's new record. Returns the ids of the other jobs whose state changed."""
         record = job.record
         assert record is not None
         touched: set[str] = set()
@@ -29,14 +32,14 @@
         elif not job.linked:
             self._link(job)
         if record.state == "done":
-            for name in self._needed_by.get(job.id, ()):
-                later = self._jobs[name]
-                later.blockers.discard(job.id)
-                later.since = max(later.since, record.ended)
+            for name in self._dependents.get(job.id, ()):
+                dependent = self._jobs[name]
+                dependent.blockers.discard(job.id)
+                dependent.since = max(dependent.since, record.ended)
                 touched.add(name)
-        if record.state == "cancelled" or self._needs_cancelled(job):
-            self._doom(job, touched)
-        self._weigh([job.id], touched)
+        if record.state == "cancelled" or self._depends_on_cancelled(job):
+            self._propagate_cancellation(job, touched)
+        self._update_priorities([job.id], touched)
         touched.discard(job.id)
         return touched
 
@@ -49,47 +52,55 @@
             job.blockers = set()
             job.waits_on = record.spec.waits_on
         for name in record.spec.waits_on:
-            self._needed_by.setdefault(name, set()).add(job.id)
-            needed = self._jobs.get(name)
-            if needed is not None and needed.record is not None and needed.record.state == "done":
-                job.since = max(job.since, needed.record.ended)
+            self._dependents.setdefault(name, set()).add(job.id)
+            dependency = self._jobs.get(name)
+            if (
+                dependency is not None
+                and dependency.record is not None
+                and dependency.record.state == "done"
+            ):
+                job.since = max(job.since, dependency.record.ended)
             else:
                 job.blockers.add(name)
 
     def _unlink(self, job: Job, touched: set[str]) -> None:
-        """A job that is over, or will be, lends its weight to no other any more."""
+        """Unlinks a job that is over or cancelled; its dependencies inherit from it no more."""
         if not job.linked or job.waits_on is None:
             return
-        needed, job.waits_on = job.waits_on, None
-        for name in needed:
-            later = self._needed_by.get(name, set())
-            later.discard(job.id)
-            if not later:
-                self._needed_by.pop(name, None)
-        self._weigh(needed, touched)
+        dependencies, job.waits_on = job.waits_on, None
+        for name in dependencies:
+            dependents = self._dependents.get(name, set())
+            dependents.discard(job.id)
+            if not dependents:
+                self._dependents.pop(name, None)
+        self._update_priorities(dependencies, touched)
 
-    def _needs_cancelled(self, job: Job) -> bool:
-        needed = (self._jobs.get(name) for name in job.waits_on or ())
-        return any(j is not None and (j.doomed or j.status == "cancelled") for j in needed)
+    def _depends_on_cancelled(self, job: Job) -> bool:
+        dependencies = (self._jobs.get(name) for name in job.waits_on or ())
+        return any(
+            j is not None and (j.dependency_cancelled or j.status == "cancelled")
+            for j in dependencies
+        )
 
-    def _doom(self, first: Job, touched: set[str]) -> None:
-        """All open jobs that need a cancelled one, directly or through others, are over with it."""
+    def _propagate_cancellation(self, first: Job, touched: set[str]) -> None:
+        """Marks all open jobs that depend on a cancelled one, directly or transitively."""
         queue = deque([first])
         while queue:
             job = queue.popleft()
-            # The list is taken before the links are cut.
-            later = [self._jobs[name] for name in self._needed_by.get(job.id, ())]
-            if job.status == "open" and not job.doomed:
-                job.doomed = True
+            # Collected before `_unlink` changes `_dependents`.
+            dependents = [self._jobs[name] for name in self._dependents.get(job.id, ())]
+            if job.status == "open" and not job.dependency_cancelled:
+                job.dependency_cancelled = True
                 touched.add(job.id)
                 self._unlink(job, touched)
-            queue.extend(j for j in later if j.status == "open" and not j.doomed)
+            queue.extend(j for j in dependents if j.status == "open" and not j.dependency_cancelled)
 
-    def _weigh(self, names: Iterable[str], touched: set[str]) -> None:
-        """Priority and latest end of jobs, given those that need them, and so on upwards.
+    def _update_priorities(self, names: Iterable[str], touched: set[str]) -> None:
+        """Updates priority and due time of the named jobs and, on a change, of their dependencies.
 
-        The priority is the highest of a job's own and of open jobs that need it; the latest end
-        is the tightest deadline, less the estimated work that still comes after it.
+        A job's priority is the highest of its own and those of its open dependents. Its due time
+        is the earliest of its own deadline and, for each dependent, the dependent's due time minus
+        the dependent's estimated run time.
         """
         queue = deque(names)
         while queue:
@@ -99,12 +110,12 @@
             own = job.record.spec
             priority = own.priority
             due = job.record.at + own.deadline_s if own.deadline_s else float("inf")
-            needing = self._needed_by.get(job.id, ())
-            for name in needing:
-                later = self._jobs[name]
-                priority = max(priority, later.priority)
-                due = min(due, later.due - later.estimate_s)
-            job.chained = job.chained or bool(own.waits_on or needing)
+            dependents = self._dependents.get(job.id, ())
+            for name in dependents:
+                dependent = self._jobs[name]
+                priority = max(priority, dependent.priority)
+                due = min(due, dependent.due - dependent.estimate_s)
+            job.chained = job.chained or bool(own.waits_on or dependents)
             if (priority, due) == (job.priority, job.due) and job.spec is not None:
                 continue
             job.priority, job.due = priority, due
--- a/pulleydeal/store/replica.py
+++ b/pulleydeal/store/replica.py
@@ -1,4 +1,4 @@
-"""A watched copy of everything the state service holds for us, with the indexes we need."""
+"""In-memory copy of the scheduler's records in the state service, with indexes."""
 
 import asyncio
 import logging
@@ -37,23 +37,23 @@
     facts: list[facts.Fact]
 
 
-# (kind, id): view, member, software, job, machine, rental, catalog, feature, journal; `bound` names
-# a machine whose bindings changed, so that nobody has to look at all machines or at all tasks of a
-# job.
+# Called with (kind, id). Kinds: view, member, software, job, machine, rental, catalog, feature,
+# journal, and bound, whose id is a machine with changed bindings. It saves listeners from scanning
+# all machines or all tasks of a job.
 Listener = Callable[[str, str], None]
 
 
 class Replica:
-    """Reads are plain attribute access on the event loop; changes happen under the lock."""
+    """Read by plain attribute access on the event loop; changed only under its lock."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._listeners: list[Listener] = []
-        # Feature that is on -> its records by name, with their versions. What belongs to others
-        # is not kept.
+        # Enabled feature -> its records by name, with their versions. Records of features that
+        # are not enabled here are not kept.
         self._features: dict[str, dict[str, tuple[bytes, int]]] = {}
-        self._waiting: list[tuple[int, asyncio.Future[None]]] = []
-        self.open_changes = 0  # moves whenever a job opens or ends, and when all is read anew
+        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
+        self.open_changes = 0  # incremented when a job record changes, and on each reload
         self._clear()
 
     def _clear(self) -> None:
@@ -61,42 +61,42 @@
         self.loaded = False
         self.jobs: dict[str, Job] = {}
         self.open_jobs: set[str] = set()
-        # Cancelled ones of these: tasks of theirs are not proved gone.
+        # Those of `open_jobs` that are cancelled: some of their tasks may not be proved gone.
         self.cancelled_jobs: set[str] = set()
         self.machines: dict[str, Machine] = {}
         self.rentals: dict[str, Rental] = {}
         self.members: dict[str, str] = {}
-        self.formats: dict[str, int] = {}  # member -> records that its version keeps
-        self.software: dict[str, int] = {}  # node -> the same, durably, also while it is away
-        self.shown: dict[str, dict[str, int]] = {}  # node -> features that it has on
-        for kept in self._features.values():
-            kept.clear()
+        self.formats: dict[str, int] = {}  # member -> record format of its version
+        self.software: dict[str, int] = {}  # node -> the same, kept while it is away
+        self.shown: dict[str, dict[str, int]] = {}  # node -> its enabled features
+        for records in self._features.values():
+            records.clear()
         self.view = r.View()
         self.view_version = 0
         self.catalog = r.Catalog()
-        self.more_types: dict[str, r.Catalog] = {}  # that the catalogue's value can't hold
+        self.more_types: dict[str, r.Catalog] = {}  # those that do not fit into the catalog's value
         self.types: dict[str, r.MachineType] = {}
         self.bound: dict[str, dict[TaskId, r.Task]] = {}
         self.zone_of: dict[str, str] = {}  # machine -> zone
         self.open_changes += 1
         self._pipelines = Pipelines(self.jobs)
-        self._led: set[str] = set()  # jobs that another job's change concerns, not yet told
-        self._used: dict[str, tuple[float, float]] = {}  # team -> cpus, gpus of all bound
-        self._rebound: set[str] = set()  # machines whose bindings changed since last told
-        # Journal values by start and place, and facts of jobs that are not known yet: on a load
-        # a value may be read that is newer than what was read of the jobs.
+        self._affected_jobs: set[str] = set()  # changed by facts or by other jobs, not yet notified
+        self._usage: dict[str, tuple[float, float]] = {}  # team -> cpus, gpus of its bound tasks
+        self._rebound_machines: set[str] = set()  # machines with changed bindings, not yet notified
+        # Journal values by start and position, and facts of jobs not known yet: during a load,
+        # a journal value may be read that is newer than the pages with the jobs.
         self.journals: dict[str, JournalValue] = {}
-        self._early: dict[str, list[facts.Fact]] = {}
-        self._combined: dict[str, set[int]] = {}  # tasks whose state no single fact tells
+        self._facts_before_job: dict[str, list[facts.Fact]] = {}
+        self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks whose state is no single fact
         self._versions: dict[str, int] = {}
         self._deleted: dict[str, int] = {}
 
     def keep_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
-        """From the next load on, that feature's records are kept; they show in the result."""
+        """Keeps this feature's records from the next load on. Returns the dict that holds them."""
         return self._features.setdefault(feature, {})
 
     def version(self, key: str) -> int:
-        """The version that a commit which read this key is conditional on; 0: it is absent."""
+        """The version for a commit's condition on this key; 0 if the key is absent."""
         return self._versions.get(key, 0)
 
     def listen(self, listener: Listener) -> None:
@@ -117,7 +117,7 @@
             self.revision = revision
             self.loaded = True
         self._notify([("view", ""), ("member", "")])
-        self._release()
+        self._wake_waiters()
 
     def apply(self, changes: m.Changes) -> None:
         touched = []
@@ -128,14 +128,14 @@
                 elif event.delete is not None:
                     touched.append(self._delete(event.delete, event.version))
             self.revision = max(self.revision, changes.revision)
-            passed = [k for k, version in self._deleted.items() if version <= self.revision]
-            for key in passed:
+            delivered = [k for k, version in self._deleted.items() if version <= self.revision]
+            for key in delivered:
                 del self._deleted[key]
         self._notify([t for t in touched if t is not None])
-        self._release()
+        self._wake_waiters()
 
     def committed(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
-        """Our own transaction succeeded: show it before the watch brings it."""
+        """Applies this node's own committed transaction before the watch delivers it."""
         touched = []
         with self._lock:
             for key, value in puts.items():
@@ -145,55 +145,55 @@
         self._notify([t for t in touched if t is not None])
 
     def _put(self, key: str, value: bytes, version: int) -> tuple[str, str] | None:
-        # Own commits are applied before the watch delivers them, and a page may be newer than
-        # the events after it: an older version never replaces a newer one.
-        # A key we deleted ourselves must not come back while the watch still catches up.
+        # Own commits are applied before the watch delivers them, and a loaded page may be newer
+        # than the events replayed after it, so an older version must not replace a newer one.
+        # A key deleted by this node must not reappear while the watch catches up.
         if version <= max(self._versions.get(key, 0), self._deleted.get(key, 0)):
             return None
         self._versions[key] = version
-        kind, _, rest = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
         if kind == "j":
-            self._set_job(rest, r.JOB.decode(value), version)
-            return "job", rest
+            self._set_job(suffix, r.JOB.decode(value), version)
+            return "job", suffix
         if kind == "c":
-            job, _, index = rest.partition("/")
+            job, _, index = suffix.partition("/")
             self._set_chunk(job, int(index, 16), r.CHUNK.decode(value), version)
             return "job", job
         if kind == "l":
-            self._set_journal(rest, facts.FACTS.decode(value), version)
-            return "journal", rest
+            self._set_journal(suffix, facts.FACTS.decode(value), version)
+            return "journal", suffix
         if kind == "m":
-            self.machines[rest] = Machine(rest, version, r.MACHINE.decode(value))
-            self.zone_of[rest] = self.machines[rest].record.zone
-            return "machine", rest
+            self.machines[suffix] = Machine(suffix, version, r.MACHINE.decode(value))
+            self.zone_of[suffix] = self.machines[suffix].record.zone
+            return "machine", suffix
         if kind == "r":
-            self.rentals[rest] = Rental(rest, version, r.RENTAL.decode(value))
-            return "rental", rest
+            self.rentals[suffix] = Rental(suffix, version, r.RENTAL.decode(value))
+            return "rental", suffix
         if kind == "n":
             member = r.MEMBER.decode(value)
-            self.members[rest] = member.incarnation
-            self.formats[rest] = member.format
-            return "member", rest
+            self.members[suffix] = member.incarnation
+            self.formats[suffix] = member.format
+            return "member", suffix
         if kind == "s":
             software = r.SOFTWARE.decode(value)
-            self.software[rest], self.shown[rest] = software.format, software.features
-            return "software", rest
+            self.software[suffix], self.shown[suffix] = software.format, software.features
+            return "software", suffix
         if kind == "f":
-            feature, _, name = rest.partition("/")
+            feature, _, name = suffix.partition("/")
             if feature not in self._features:
                 return None
             self._features[feature][name] = (value, version)
-            return "feature", rest
+            return "feature", suffix
         if kind == "view":
             self.view = r.VIEW_DECODER.decode(value)
             self.view_version = version
             return "view", ""
         if kind == "catalog":
             self.catalog = r.CATALOG_DECODER.decode(value)
-            return self._know_types()
+            return self._update_types()
         if kind == "t":
-            self.more_types[rest] = r.CATALOG_DECODER.decode(value)
-            return self._know_types()
+            self.more_types[suffix] = r.CATALOG_DECODER.decode(value)
+            return self._update_types()
         return None
 
     def _delete(self, key: str, version: int) -> tuple[str, str] | None:
@@ -201,36 +201,36 @@
             return None
         self._versions.pop(key, None)
         self._deleted[key] = version
-        kind, _, rest = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
         if kind == "c":
-            job, _, index = rest.partition("/")
+            job, _, index = suffix.partition("/")
             self._drop_chunk(job, int(index, 16))
             return "job", job
         if kind == "l":
-            self.journals.pop(rest, None)
-            return "journal", rest
+            self.journals.pop(suffix, None)
+            return "journal", suffix
         if kind == "m":
-            self.machines.pop(rest, None)
-            self.zone_of.pop(rest, None)
-            return "machine", rest
+            self.machines.pop(suffix, None)
+            self.zone_of.pop(suffix, None)
+            return "machine", suffix
         if kind == "r":
-            self.rentals.pop(rest, None)
-            return "rental", rest
+            self.rentals.pop(suffix, None)
+            return "rental", suffix
         if kind == "n":
-            self.members.pop(rest, None)
-            self.formats.pop(rest, None)
-            return "member", rest
+            self.members.pop(suffix, None)
+            self.formats.pop(suffix, None)
+            return "member", suffix
         if kind == "t":
-            self.more_types.pop(rest, None)
-            return self._know_types()
+            self.more_types.pop(suffix, None)
+            return self._update_types()
         if kind == "f":
-            feature, _, name = rest.partition("/")
+            feature, _, name = suffix.partition("/")
             if self._features.get(feature, {}).pop(name, None) is not None:
-                return "feature", rest
+                return "feature", suffix
         return None
 
-    def _know_types(self) -> tuple[str, str]:
-        more = [t for _, part in sorted(self.more_types.items()) for t in part.types]
+    def _update_types(self) -> tuple[str, str]:
+        more = [t for _, catalog in sorted(self.more_types.items()) for t in catalog.types]
         self.types = {t.name: t for t in [*self.catalog.types, *more]}
         return "catalog", ""
 
@@ -240,148 +240,148 @@
             for index in list(job.chunks):
                 self._drop_chunk(job_id, index)
             self.open_jobs.discard(job_id)
-            self._combined.pop(job_id, None)
+            self._merged_tasks.pop(job_id, None)
         else:
             self.open_jobs.add(job_id)
         if record.spec is not None and record.state == "cancelled":
             self.cancelled_jobs.add(job_id)
         else:
             self.cancelled_jobs.discard(job_id)
-        self._account(job, -job.bound)
+        self._add_usage(job, -job.bound)
         job.version = version
         job.record = record
         if record.spec is None:
             job.spec = None
-        self._led |= self._pipelines.changed(job)
-        self._account(job, job.bound)  # chunks may be read before their job's description
+        self._affected_jobs |= self._pipelines.update(job)
+        self._add_usage(job, job.bound)  # chunks may be loaded before their job's spec
         self.open_changes += 1
-        early = self._early.pop(job_id, None)
-        if early is not None:
-            self._merge(early)
+        facts_before_job = self._facts_before_job.pop(job_id, None)
+        if facts_before_job is not None:
+            self._merge(facts_before_job)
 
-    def _account(self, job: Job, tasks: int) -> None:
+    def _add_usage(self, job: Job, tasks: int) -> None:
         spec = job.spec
         if spec is not None and tasks:
-            cpus, gpus = self._used.get(spec.team, (0.0, 0.0))
-            self._used[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
+            cpus, gpus = self._usage.get(spec.team, (0.0, 0.0))
+            self._usage[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
 
-    def _set_journal(self, place: str, found: list[facts.Fact], version: int) -> None:
-        self.journals[place] = JournalValue(version, found)
-        self._merge(found)
+    def _set_journal(self, place: str, new_facts: list[facts.Fact], version: int) -> None:
+        self.journals[place] = JournalValue(version, new_facts)
+        self._merge(new_facts)
 
-    def _merge(self, found: list[facts.Fact]) -> None:
-        """Takes in facts, in whatever order and however often they come (store/facts.py)."""
+    def _merge(self, new_facts: list[facts.Fact]) -> None:
+        """Merges facts into task states. Order and repetition do not matter (store/facts.py)."""
         changed: dict[tuple[str, int], list[r.Task]] = {}
-        for fact in found:
+        for fact in new_facts:
             job = self.jobs.get(fact.job)
             if job is None or job.record is None:
-                self._early.setdefault(fact.job, []).append(fact)
+                self._facts_before_job.setdefault(fact.job, []).append(fact)
                 continue
             if job.record.spec is None:
-                continue  # over, with all its tasks gone: nothing of it matters any more
+                continue  # over, with all its tasks gone
             k, offset = divmod(fact.index, c.CHUNK_TASKS)
             tasks = changed.get((fact.job, k))
             if tasks is None:
-                tasks = changed[(fact.job, k)] = self._tasks_of(job, job.record.tasks, k)
+                tasks = changed[(fact.job, k)] = self._copy_tasks(job, job.record.tasks, k)
             if offset < len(tasks):
                 known = tasks[offset]
                 tasks[offset] = facts.joined(known, fact.task)
-                self._note_combined(fact, known, tasks[offset])
+                self._track_merged(fact, known, tasks[offset])
         for (job_id, k), tasks in changed.items():
             self._set_chunk(job_id, k, tasks, 0)
-            self._led.add(job_id)
+            self._affected_jobs.add(job_id)
 
-    def _note_combined(self, fact: facts.Fact, known: r.Task, state: r.Task) -> None:
-        if state == fact.task:
-            self._combined.get(fact.job, set()).discard(fact.index)
-        elif state != known:
-            self._combined.setdefault(fact.job, set()).add(fact.index)
+    def _track_merged(self, fact: facts.Fact, known: r.Task, merged: r.Task) -> None:
+        if merged == fact.task:
+            self._merged_tasks.get(fact.job, set()).discard(fact.index)
+        elif merged != known:
+            self._merged_tasks.setdefault(fact.job, set()).add(fact.index)
 
     def is_combined(self, job: str, index: int) -> bool:
-        """Whether several facts together tell the state of a task of a journaled job."""
-        return index in self._combined.get(job, ())
+        """Whether the state of a journaled job's task was merged from several facts."""
+        return index in self._merged_tasks.get(job, ())
 
-    def _tasks_of(self, job: Job, count: int, k: int) -> list[r.Task]:
-        """A copy of a chunk's tasks, or as many that were never started."""
+    def _copy_tasks(self, job: Job, count: int, k: int) -> list[r.Task]:
+        """A copy of a chunk's tasks, or tasks in their initial state if it is not stored yet."""
         chunk = job.chunks.get(k)
         if chunk is not None:
             return list(chunk.tasks)
         return [r.Task()] * min(c.CHUNK_TASKS, max(0, count - k * c.CHUNK_TASKS))
 
-    def _set_chunk(self, job_id: str, index: int, tasks: list[r.Task], version: int) -> None:
-        """Only tasks that changed are looked at: most of a chunk's writes change one or two."""
+    def _set_chunk(self, job_id: str, chunk_index: int, tasks: list[r.Task], version: int) -> None:
+        """Reindexes only the tasks that changed: most writes of a chunk change one or two."""
         job = self.jobs.setdefault(job_id, Job(job_id))
-        old = job.chunks.get(index)
+        old = job.chunks.get(chunk_index)
         before = old.tasks if old is not None else [r.Task()] * len(tasks)
         waiting = 0
         for offset, task in enumerate(tasks):
             waiting += not task.machine and not task.done
-            was = before[offset]
-            if was == task:
+            previous = before[offset]
+            if previous == task:
                 continue
-            place = index * c.CHUNK_TASKS + offset
-            self._unindex(job, place, was)
+            task_index = chunk_index * c.CHUNK_TASKS + offset
+            self._unindex(job, task_index, previous)
             job.done += task.done
             if not task.done:
                 job.last_stop = task.stop or task.why or job.last_stop
             if task.machine:
-                job.on_machines[place] = task
-                self.bound.setdefault(task.machine, {})[(job_id, place)] = task
-                self._rebound.add(task.machine)
-                self._account(job, 1)
-        job.chunks[index] = Chunk(version, tasks, waiting)
+                job.on_machines[task_index] = task
+                self.bound.setdefault(task.machine, {})[(job_id, task_index)] = task
+                self._rebound_machines.add(task.machine)
+                self._add_usage(job, 1)
+        job.chunks[chunk_index] = Chunk(version, tasks, waiting)
 
-    def _drop_chunk(self, job_id: str, index: int) -> None:
+    def _drop_chunk(self, job_id: str, chunk_index: int) -> None:
         job = self.jobs.get(job_id)
-        chunk = job.chunks.pop(index, None) if job is not None else None
+        chunk = job.chunks.pop(chunk_index, None) if job is not None else None
         if job is not None and chunk is not None:
             for offset, task in enumerate(chunk.tasks):
-                self._unindex(job, index * c.CHUNK_TASKS + offset, task)
+                self._unindex(job, chunk_index * c.CHUNK_TASKS + offset, task)
 
-    def _unindex(self, job: Job, place: int, task: r.Task) -> None:
+    def _unindex(self, job: Job, task_index: int, task: r.Task) -> None:
         job.done -= task.done
         if task.machine:
-            self._rebound.add(task.machine)
-            del job.on_machines[place]
-            self._account(job, -1)
+            self._rebound_machines.add(task.machine)
+            del job.on_machines[task_index]
+            self._add_usage(job, -1)
             on_machine = self.bound[task.machine]
-            del on_machine[(job.id, place)]
+            del on_machine[(job.id, task_index)]
             if not on_machine:
                 del self.bound[task.machine]
 
     # --- waiting ------------------------------------------------------------------------
     async def reach(self, revision: int) -> None:
-        """Returns once the copy is at least as new as `revision`."""
+        """Returns once the replica is at least as new as `revision`."""
         if self.loaded and self.revision >= revision:
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append((revision, future))
+        self._waiters.append((revision, future))
         await future
 
-    def _release(self) -> None:
-        still = []
-        for revision, future in self._waiting:
+    def _wake_waiters(self) -> None:
+        remaining = []
+        for revision, future in self._waiters:
             if future.done():
                 continue
             if self.loaded and self.revision >= revision:
                 future.set_result(None)
             else:
-                still.append((revision, future))
-        self._waiting = still
+                remaining.append((revision, future))
+        self._waiters = remaining
 
     def _notify(self, touched: list[tuple[str, str]]) -> None:
-        rebound, self._rebound = self._rebound, set()
-        led, self._led = self._led, set()
-        touched = list(dict.fromkeys([*touched, *(("job", job) for job in sorted(led))]))
+        rebound, self._rebound_machines = self._rebound_machines, set()
+        affected, self._affected_jobs = self._affected_jobs, set()
+        touched = list(dict.fromkeys([*touched, *(("job", job) for job in sorted(affected))]))
         touched += [("bound", machine) for machine in rebound]
         for kind, name in touched:
             for listener in self._listeners:
                 listener(kind, name)
 
-    # --- sums ---------------------------------------------------------------------------
+    # --- usage --------------------------------------------------------------------------
     def usage(self) -> dict[str, tuple[float, float]]:
-        """(cpus, gpus) per team of everything bound, that is, not proved gone.
+        """(cpus, gpus) per team of all bound tasks, that is, those not proved gone.
 
-        Kept up to date where bindings change: counting anew grew with all tasks, at each use.
+        Updated as bindings change, since the cost of recounting grew with the number of tasks.
         """
-        return self._used
+        return self._usage
