--- a/pulleydeal/store/service.py
+++ b/pulleydeal/store/service.py
@@ -1,4 +1,4 @@
-"""Keeps the replica current, proves its freshness, and commits changes in batches per job."""
+"""Keeps the replica current, verifies its freshness, and commits batched changes per job."""
 
 import asyncio
 import logging
@@ -30,15 +30,16 @@
 
 
 class FactWriter(Protocol):
-    """Writes what happens to tasks of journaled jobs (`pulleydeal/journal`)."""
+    """Writes task state changes of journaled jobs to the journal (`pulleydeal/journal`)."""
 
     def takes(self, spec: r.JobSpec) -> bool:
         """Whether a job that is accepted now is to be journaled."""
 
     async def append(self, job: str, make: "MakeDraft", turn: "Turn") -> bool:
-        """Makes the facts of a job's draft durable; what it was made from is as new as that.
+        """Makes the facts of a job's draft durable, and leaves the replica at least as new.
 
-        True also when there are none. False: the marks moved too often, or the job is over.
+        Returns True also when there are none; False when versions changed too often or the job
+        is over.
         """
 
 
@@ -48,6 +49,8 @@
 
 
 class Backoff:
+    """Exponential back-off with jitter."""
+
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._next = c.BACKOFF_MIN_S
@@ -61,6 +64,8 @@
 
 
 class Store:
+    """Reads and writes the scheduler's records through the replica and the state client."""
+
     def __init__(
         self,
         client: StateClient,
@@ -74,12 +79,12 @@
         self._clock = clock
         self._rng = rng
         self.limits = limits
-        # The replica is at least as new as this moment: when what proved it was asked for, as the
-        # answer may have been held back on its way, or a watch have waited through an outage.
+        # The replica is at least as new as this time. It is the send time of the request that
+        # showed it: the answer may be delayed, and a watch may stay open through an outage.
         self.current_at = -1e9
         self._barrier: asyncio.Future[tuple[float, int]] | None = None
-        self._pending: dict[str, list[Change]] = {}
-        self._draining: dict[tuple[str, bool], asyncio.Task[None]] = {}
+        self._pending_changes: dict[str, list[Change]] = {}
+        self._drain_tasks: dict[tuple[str, bool], asyncio.Task[None]] = {}
         self.journal: FactWriter | None = None
 
     def journals(self, spec: r.JobSpec) -> bool:
@@ -88,39 +93,39 @@
 
     # --- watching -----------------------------------------------------------------------
     async def follow(self) -> None:
-        """Loads the replica and follows the watch for ever."""
+        """Loads the replica and applies changes from the watch, forever."""
         backoff = Backoff(self._rng)
         while True:
             try:
                 if not self.replica.loaded:
                     await self._load()
-                started = self._clock.now()
+                watch_started = self._clock.now()
                 changes = await self.client.watch(r.PREFIX, self.replica.revision)
                 self.replica.apply(changes)
-                # A watch that was opened while this node alone is refused may end empty: it says
-                # nothing. One that was served in the meantime would have brought what changed.
-                if changes.events or self.client.served_at >= started:
-                    self._proved(started)
+                # An empty watch shows nothing if the service refuses this node's requests. If it
+                # served one since the watch began, the watch would have delivered any change.
+                if changes.events or self.client.served_at >= watch_started:
+                    self._mark_current(watch_started)
                 backoff.reset()
-                spent = self._clock.now() - started
+                spent = self._clock.now() - watch_started
                 if spent < c.WATCH_SPACING_S:
                     await asyncio.sleep(c.WATCH_SPACING_S - spent)
             except TooOld:
-                log.info("watch too far behind: reading everything again")
+                log.info("watch revision is too old to resume: reloading the replica")
                 await self._load()
             except (Unavailable, Unknown) as error:
                 log.debug("watch: %s", error)
                 await backoff.pause()
 
-    def _proved(self, asked_at: float) -> None:
-        """The replica holds all that the service held when it was asked."""
-        self.current_at = max(self.current_at, asked_at)
+    def _mark_current(self, requested_at: float) -> None:
+        """Records that the replica holds all that the service held at `requested_at`."""
+        self.current_at = max(self.current_at, requested_at)
 
     async def _load(self) -> None:
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         page = await self.client.page(r.PREFIX, None)
-        # Events after the first page's revision are replayed; versions sort out the overlap.
-        first = page.revision
+        # The watch replays events after the first page's revision; versions resolve the overlap.
+        first_revision = page.revision
         pages = [page]
         while page.more:
             page = await self.client.page(r.PREFIX, page.items[-1].key)
@@ -128,29 +133,29 @@
         self.replica.begin_load()
         for page in pages:
             self.replica.load(page.items)
-        self.replica.end_load(first)
-        self._proved(asked_at)
-        log.info("replica loaded at revision %d, %d jobs", first, len(self.replica.jobs))
+        self.replica.end_load(first_revision)
+        self._mark_current(requested_at)
+        log.info("replica loaded at revision %d, %d jobs", first_revision, len(self.replica.jobs))
 
     async def fresh(self) -> None:
         """Returns once the replica is at least as new as this call; raises Unavailable.
 
-        One read serves all who wait: a caller joins the read that has not started yet.
+        Callers share reads: each joins the pending read that has not been sent yet.
         """
         try:
             async with asyncio.timeout(c.FRESH_TIMEOUT_S):
                 if self._barrier is None:
                     self._barrier = asyncio.ensure_future(self._read_revision())
                     self._barrier.add_done_callback(take_failure)
-                asked_at, revision = await asyncio.shield(self._barrier)
+                requested_at, revision = await asyncio.shield(self._barrier)
                 await self.replica.reach(revision)
-                self._proved(asked_at)
+                self._mark_current(requested_at)
         except (TimeoutError, Unknown) as error:
-            raise Unavailable("freshness not proved in time") from error
+            raise Unavailable("replica freshness not confirmed in time") from error
 
     async def _read_revision(self) -> tuple[float, int]:
-        await asyncio.sleep(c.FRESH_GATHER_S)  # gather the polls of one moment
-        self._barrier = None  # from here on a new caller needs a new read
+        await asyncio.sleep(c.FRESH_GATHER_S)  # lets concurrent callers share this read
+        self._barrier = None  # later callers need a new read
         return self._clock.now(), await self.client.revision()
 
     # --- committing ---------------------------------------------------------------------
@@ -162,9 +167,13 @@
         lease: dict[str, int] | None = None,
         turn: Turn | None = Turn.FIRST,
     ) -> bool:
-        """One transaction. True: done and shown in the replica. False: a condition failed,
-        and the replica is as new as that. Raises Unavailable, Unknown, LeaseLost, or TooLarge
-        for what the state service would never take. `turn`: None when it is the caller's."""
+        """Commits one transaction, conditional on the versions in `conditions`.
+
+        Returns True once it is committed and in the replica, or False if a condition failed and
+        the replica is at least as new as that failure. Raises Unavailable, Unknown, Refused or
+        LeaseLost, TimeoutError if the replica does not catch up, and TooLarge for a transaction
+        that exceeds the limits. `turn` is None if the caller has already been admitted.
+        """
         encoded = {key: msgspec.json.encode(value) for key, value in puts.items()}
         self.limits.check(conditions, encoded, deletes or [])
         leases = lease or {}
@@ -178,71 +187,71 @@
         if ok and r.VIEW not in puts:
             self.replica.committed(encoded, deletes or [], outcome.revision)
         else:
-            # A new view must not be seen before all that was committed under the old one:
-            # ownership taken with a binding still unseen would kill a running task.
+            # A new view must not be visible before everything committed under the old one: a
+            # node that takes ownership without seeing a binding would kill a running task.
             async with asyncio.timeout(c.COMMIT_WAIT_S):
                 await self.replica.reach(outcome.revision)
         return ok
 
     def change_job(self, job: str, mutate: Mutator, turn: Turn) -> asyncio.Future[bool]:
-        """Queues a change of a job. All that gather until its turn go into one transaction.
+        """Queues a change of a job. Changes queued until it is admitted share one transaction.
 
-        The change is a function of the newest record, so it may run several times. The
-        future tells whether the batch was written.
+        `mutate` is applied to the newest record and may run several times. The future's result
+        is whether the batch was written.
         """
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._pending.setdefault(job, []).append((mutate, turn, future))
-        # What a user waits for does not stand behind changes that already wait for their turn:
-        # whichever comes first takes all along.
-        way = (job, turn is Turn.FIRST)
-        if way not in self._draining:
-            self._draining[way] = asyncio.ensure_future(self._drain(way))
+        self._pending_changes.setdefault(job, []).append((mutate, turn, future))
+        # User requests have a writer of their own, so that they do not wait behind changes of
+        # lower priority. The first of the two to be admitted takes all pending changes along.
+        queue_key = (job, turn is Turn.FIRST)
+        if queue_key not in self._drain_tasks:
+            self._drain_tasks[queue_key] = asyncio.ensure_future(self._drain(queue_key))
         return future
 
-    async def _drain(self, way: tuple[str, bool]) -> None:
-        job_id, _ = way
-        await asyncio.sleep(0)  # let this moment's changes gather
+    async def _drain(self, queue_key: tuple[str, bool]) -> None:
+        job_id, _ = queue_key
+        await asyncio.sleep(0)  # lets concurrent changes join the batch
         try:
-            while job_id in self._pending:
+            while job_id in self._pending_changes:
                 batch: list[Change] = []
                 ok = False
                 try:
                     ok = await self._write(job_id, batch)
-                except Exception:  # one job's trouble must not stop the committer
+                except Exception:  # a failure of one job's batch must not end this task
                     log.exception("commit of job %s failed", job_id)
                 for _, _, future in batch:
                     if not future.done():
                         future.set_result(ok)
         finally:
-            self._draining.pop(way, None)
+            self._drain_tasks.pop(queue_key, None)
 
     async def _write(self, job_id: str, batch: list[Change]) -> bool:
-        """Writes what is pending for a job, also what is added while it waits for its turn."""
+        """Writes a job's pending changes, including those queued while it waits for admission."""
         backoff = Backoff(self._rng)
-        unsure = False
+        outcome_unknown = False
         tries = 0
-        # One that may still be applied is never given up: it would bind what nobody counts.
-        while unsure or tries < c.SCRATCH_TRIES:
+        # A change that may still be applied is never given up: it could add an uncounted task.
+        while outcome_unknown or tries < c.SCRATCH_TRIES:
             tries += 1
             while True:
                 if self._is_journaled(job_id):
-                    if not await self._append_facts(job_id, batch) and not unsure:
+                    if not await self._append_facts(job_id, batch) and not outcome_unknown:
                         return False
-                    if not unsure and self._writes_nothing(self._draft(job_id, batch)):
-                        return True  # all of it was facts: no turn is waited for
-                queued = self._pending.get(job_id, [])
+                    if not outcome_unknown and self._is_empty(self._build_draft(job_id, batch)):
+                        return True  # the changes were only facts: no admission needed
+                queued = self._pending_changes.get(job_id, [])
                 await self.client.may_write(self._turn([*batch, *queued]))
-                batch += self._pending.pop(job_id, [])
+                batch += self._pending_changes.pop(job_id, [])
                 if not batch:
                     return True
-                draft = self._draft(job_id, batch)
+                draft = self._build_draft(job_id, batch)
                 if draft is None:
                     return False
                 if draft.facts:
-                    continue  # they came while it waited, and go first
-                if unsure:
-                    # An unanswered transaction may still be applied. Quota and zones are
-                    # counted without it, so the job's mark must move for it to fail.
+                    continue  # queued while waiting; facts are written first
+                if outcome_unknown:
+                    # An unanswered transaction may still be applied, though quota and zones were
+                    # counted without it. A new job version makes its conditions fail.
                     draft.touch()
                 if not draft.puts and not draft.deletes:
                     return True
@@ -253,18 +262,20 @@
                     log.debug("commit of %s: %s", job_id, error)
                     await backoff.pause()
                 except (TooLarge, Refused) as error:
-                    # Tried again it would be refused again, for ever.
-                    log.error("job %s: change given up: %s", job_id, error)
+                    # A retry would be refused again.
+                    log.error(
+                        "job %s: dropping changes that can never be committed: %s", job_id, error
+                    )
                     return False
                 except Unknown as error:
-                    # The transaction may be applied late: read back first. Whatever happened,
-                    # the marks let at most one of it and its successor through.
+                    # The transaction may be applied late, so read back first. In any case the
+                    # version conditions admit at most one of it and its successor.
                     log.debug("commit of %s: %s", job_id, error)
-                    unsure = True
+                    outcome_unknown = True
                     await self._read_back(backoff)
             if ok:
                 return True
-        log.info("job %s: changes given up after %d conflicts", job_id, c.SCRATCH_TRIES)
+        log.info("job %s: dropping changes after %d conflicting attempts", job_id, c.SCRATCH_TRIES)
         return False
 
     def _is_journaled(self, job_id: str) -> bool:
@@ -274,8 +285,8 @@
     def _turn(self, changes: list[Change]) -> Turn:
         return min((turn for _, turn, _ in changes), default=Turn.LATER)
 
-    def _draft(self, job_id: str, batch: list[Change]) -> Draft | None:
-        """What the changes make of the newest record; None: the job is over, with all its tasks."""
+    def _build_draft(self, job_id: str, batch: list[Change]) -> Draft | None:
+        """Drafts the changes to the newest record; None if the job is unknown or fully over."""
         job = self.replica.jobs.get(job_id)
         if job is None or job.spec is None:
             return None
@@ -285,21 +296,21 @@
         draft.finish()
         return draft
 
-    def _writes_nothing(self, draft: Draft | None) -> bool:
+    def _is_empty(self, draft: Draft | None) -> bool:
         return draft is not None and not (draft.facts or draft.puts or draft.deletes)
 
     async def _append_facts(self, job_id: str, batch: list[Change]) -> bool:
-        """Makes durable what the pending changes say of the job's tasks."""
+        """Makes the task state changes of the batch and of pending changes durable."""
 
-        def make() -> Draft | None:
-            batch.extend(self._pending.pop(job_id, []))
-            return self._draft(job_id, batch)
+        def make_draft() -> Draft | None:
+            batch.extend(self._pending_changes.pop(job_id, []))
+            return self._build_draft(job_id, batch)
 
         if self.journal is None:
-            log.error("job %s: journaled, and nothing here writes journals", job_id)
+            log.error("job %s is journaled but this node has no journal writer", job_id)
             return False
-        queued = self._pending.get(job_id, [])
-        return await self.journal.append(job_id, make, self._turn([*batch, *queued]))
+        queued = self._pending_changes.get(job_id, [])
+        return await self.journal.append(job_id, make_draft, self._turn([*batch, *queued]))
 
     async def _read_back(self, backoff: Backoff) -> None:
         while True:
@@ -311,7 +322,7 @@
 
 
 async def forever(name: str, step: Callable[[], Awaitable[None]]) -> None:
-    """Runs a loop's body again and again; a failure is logged and followed by a pause."""
+    """Repeats `step` forever. Failures are logged and followed by a pause."""
     while True:
         try:
             await step()
@@ -319,8 +330,8 @@
             log.debug("%s: %s", name, error)
             await asyncio.sleep(c.LOOP_PAUSE_S)
         except (TooLarge, Refused) as error:
-            log.error("%s: change given up: %s", name, error)
+            log.error("%s: change can never be committed: %s", name, error)
             await asyncio.sleep(c.LOOP_PAUSE_S)
-        except Exception:  # no failure may silently end a loop
-            log.exception("%s failed; goes on after a pause", name)
+        except Exception:  # an unexpected error must not end the loop
+            log.exception("%s failed; retrying after a pause", name)
             await asyncio.sleep(c.LOOP_PAUSE_S)
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -1,4 +1,4 @@
-"""Transactions without an answer that are carried out late, after newer ones of the same node."""
+"""Unanswered transactions that are applied late, after newer ones of the same node."""
 
 import asyncio
 import random
@@ -21,15 +21,15 @@
 
 
 class Service:
-    """The state service and the client to it in one; answers as told, and keeps what it held."""
+    """State service and its client in one. Answers commits as told, and keeps delayed ones."""
 
     served_at = 0.0
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[Any, int]] = {}
         self.ledger = 0
-        self.answers: list[str] = []  # of the next commits: lost, conflict; else carried out
-        self.held: list[tuple[dict[str, int], list[dict[str, Any]]]] = []
+        self.answers: list[str] = []  # for the next commits: lost, refused, conflict; else applied
+        self.delayed: list[tuple[dict[str, int], list[dict[str, Any]]]] = []
         self.commits = 0
         self.replica = Replica()
         self.replica.loaded = True
@@ -55,7 +55,7 @@
         self.commits += 1
         answer = self.answers.pop(0) if self.answers else ""
         if answer == "lost":
-            self.held.append((conditions, changes))
+            self.delayed.append((conditions, changes))
             raise Unknown("no answer")
         if answer == "refused":
             raise Unavailable("503")
@@ -63,7 +63,7 @@
         return ok, m.Revision(self.ledger)
 
     async def revision(self) -> int:
-        """And the watch brings what there is; here nobody else writes."""
+        """Also advances the replica, as the watch would; there are no other writers here."""
         self.replica.apply(m.Changes(self.ledger, []))
         return self.ledger
 
@@ -86,10 +86,13 @@
     task.machine, task.attempt = "vm-1", 1
 
 
-def test_a_change_that_may_still_be_applied_is_never_given_up() -> None:
-    """Given up after six conflicts, a binding was applied later that no limit had counted."""
+def test_change_that_may_still_be_applied_is_never_given_up() -> None:
+    """A binding given up after six conflicts was applied later, without any quota counting it.
 
-    async def day() -> tuple[Service, bool]:
+    The first commit gets no answer, so it may still be applied, and all retries conflict.
+    """
+
+    async def run() -> tuple[Service, bool]:
         service = Service()
         node = store(service)
         record = msgspec.Raw(msgspec.json.encode(r.JobRecord("open", 2, 0.0, SPEC)))
@@ -98,17 +101,17 @@
         service.answers = ["lost", *["conflict"] * (c.SCRATCH_TRIES + 3)]
         return service, await node.change_job("j-1", bind, Turn.WORK)
 
-    service, ok = asyncio.run(day())
+    service, ok = asyncio.run(run())
     assert ok
     assert service.commits == c.SCRATCH_TRIES + 5
-    assert [service.apply(*late) for late in service.held] == [False]
+    assert [service.apply(*late) for late in service.delayed] == [False]
 
 
 @pytest.mark.parametrize("lost", range(3))
-def test_of_a_change_and_its_successors_each_is_applied_once(lost: int) -> None:
-    """Whichever is held and applied after two successors fails on a mark that they moved."""
+def test_delayed_commit_fails_after_its_successors(lost: int) -> None:
+    """Whichever of three commits is delayed until after the others fails on a changed version."""
 
-    async def day() -> Service:
+    async def run() -> Service:
         service = Service()
         node = store(service)
         record = msgspec.Raw(msgspec.json.encode(r.JobRecord("open", 2, 0.0, SPEC)))
@@ -130,16 +133,19 @@
             assert await node.change_job("j-1", mutate, Turn.WORK)
         return service
 
-    service = asyncio.run(day())
-    assert len(service.held) == 1
-    assert not service.apply(*service.held[0])
+    service = asyncio.run(run())
+    assert len(service.delayed) == 1
+    assert not service.apply(*service.delayed[0])
+
 
+def test_withdrawn_change_still_invalidates_its_unanswered_commit() -> None:
+    """The retry of an unanswered binding binds nothing, as a limit was reached in the meantime.
 
-def test_what_is_not_wanted_any_more_moves_the_mark_of_what_may_still_be_applied() -> None:
-    """A limit was reached meanwhile: the second look binds nothing, and the first may come late."""
-    looks: list[int] = []
+    The first commit may still be applied late, so the retry must change a version that it needs.
+    """
+    calls: list[int] = []
 
-    async def day() -> Service:
+    async def run() -> Service:
         service = Service()
         node = store(service)
         record = msgspec.Raw(msgspec.json.encode(r.JobRecord("open", 2, 0.0, SPEC)))
@@ -147,14 +153,14 @@
         node.replica.apply(m.Changes(1, [m.Event(1, r.job_key("j-1"), None, record)]))
 
         def bind_once(draft: Draft) -> None:
-            if not looks:
+            if not calls:
                 bind(draft)
-            looks.append(1)
+            calls.append(1)
 
         service.answers = ["lost"]
         assert await node.change_job("j-1", bind_once, Turn.WORK)
         return service
 
-    service = asyncio.run(day())
-    assert len(looks) == 2 and len(service.held) == 1
-    assert not service.apply(*service.held[0])
+    service = asyncio.run(run())
+    assert len(calls) == 2 and len(service.delayed) == 1
+    assert not service.apply(*service.delayed[0])
