--- a/pulleydeal/store/__init__.py
+++ b/pulleydeal/store/__init__.py
@@ -1,1 +1,1 @@
-"""State client, batching committer, watched replica."""
+"""State service access: client, in-memory replica and batched commits."""
--- a/pulleydeal/store/facts.py
+++ b/pulleydeal/store/facts.py
@@ -1,14 +1,14 @@
-"""Facts about tasks of journaled jobs, and how they combine into a task's state.
+"""Facts about tasks of journaled jobs, and how they are merged into a task's state.
 
-A chunk holds the state of 32 tasks of one job, and is changed by compare-and-set. A fact holds the
-whole state of one task, as its writer knew it, and several writers' facts are combined instead:
-`joined` is commutative, associative and idempotent, so a copy comes to the same state in whatever
-order it reads them and however often (a state-based replicated data type; Shapiro et al., "A
+A chunk holds the state of 32 tasks of one job and is changed by compare-and-set. A fact holds the
+whole state of one task, as its writer knew it, and facts of several writers are merged instead.
+`joined` is commutative, associative and idempotent, so every replica reaches the same state, no
+matter in which order and how often it reads the facts (a state-based CRDT; Shapiro et al., "A
 comprehensive study of Convergent and Commutative Replicated Data Types", 2011).
 
-A task's states are ordered by its attempt: bound, to be stopped, done while still there, ended;
-then the next attempt. Only the job's one leader binds, and only what it sees as ended; only proof
-ends.
+Task states are ordered by attempt, and within an attempt: bound, to be stopped, done but still on
+its machine, ended. Only the job's single leader binds a task, and only once it sees the previous
+attempt as ended. An attempt ends only on proof.
 """
 
 from collections.abc import Iterable
@@ -20,20 +20,22 @@
 
 
 class Fact(Struct, array_like=True, frozen=True):
+    """The whole state of one task, as known to the node that wrote it."""
+
     job: str
     index: int
     task: Task
 
 
 FACTS = msgspec.json.Decoder(list[Fact])
-EMPTY_VALUE_B = 2  # of an encoded list: its brackets
-SEPARATOR_B = 1  # between two of its items
+EMPTY_VALUE_B = 2  # brackets of an encoded list
+SEPARATOR_B = 1  # comma between two items
 
 
 def joined(one: Task, other: Task) -> Task:
-    """The state that both facts together tell."""
+    """Merges two states of the same task."""
     if one.attempt != other.attempt:
-        return _settled(one if one.attempt > other.attempt else other)
+        return _normalized(one if one.attempt > other.attempt else other)
     ended = not one.machine or not other.machine
     done = one.done or other.done
     return Task(
@@ -41,20 +43,20 @@
         one.attempt,
         done,
         max(one.fails, other.fails),
-        _why(one, other, ended, done),
+        _merged_reason(one, other, ended, done),
         "" if ended else max(one.stop, other.stop),
     )
 
 
-def _settled(task: Task) -> Task:
-    """What is done and gone did not end for a reason that anybody asks for."""
+def _normalized(task: Task) -> Task:
+    """Drops the reason of a task that is done and unbound: it is not needed."""
     if task.done and not task.machine and task.why:
         return msgspec.structs.replace(task, why="")
     return task
 
 
-def _why(one: Task, other: Task, ended: bool, done: bool) -> str:
-    """Why the attempt ended; while it has not, why the one before did."""
+def _merged_reason(one: Task, other: Task, ended: bool, done: bool) -> str:
+    """Why the attempt ended; if it has not, why the previous one did."""
     if not ended:
         return max(one.why, other.why)
     if done:
@@ -63,14 +65,17 @@
 
 
 def packed(facts: Iterable[Fact], value_b: int) -> list[list[Fact]]:
-    """The facts in values of at most `value_b` bytes each, in their order."""
+    """Splits the facts, in order, into lists that each encode to at most `value_b` bytes.
+
+    A single fact that is larger gets a list of its own.
+    """
     values: list[list[Fact]] = []
-    size = value_b + 1
+    size_b = value_b + 1
     for fact in facts:
-        more = len(msgspec.json.encode(fact)) + SEPARATOR_B
-        if size + more > value_b:
+        fact_b = len(msgspec.json.encode(fact)) + SEPARATOR_B
+        if size_b + fact_b > value_b:
             values.append([])
-            size = EMPTY_VALUE_B
+            size_b = EMPTY_VALUE_B
         values[-1].append(fact)
-        size += more
+        size_b += fact_b
     return values
--- a/pulleydeal/store/messages.py
+++ b/pulleydeal/store/messages.py
@@ -1,4 +1,8 @@
-"""The state service's wire forms (PROTOCOL: ledger, mark, charter, apply, drop, under)."""
+"""Messages of the state service.
+
+PROTOCOL's terms are used only on the wire. Here a ledger is a revision, a mark a version, a
+charter a lease, and a drop a delete.
+"""
 
 from typing import Any
 
@@ -61,5 +65,5 @@
 
 
 def transaction(conditions: dict[str, int], changes: list[dict[str, Any]]) -> dict[str, Any]:
-    checks = [condition(key, version) for key, version in conditions.items()]
-    return {"if": checks, "apply": changes} if changes else {"if": checks}
+    encoded_conditions = [condition(key, version) for key, version in conditions.items()]
+    return {"if": encoded_conditions, "apply": changes} if changes else {"if": encoded_conditions}
--- a/pulleydeal/store/reasons.py
+++ b/pulleydeal/store/reasons.py
@@ -1,9 +1,9 @@
-"""Why a task ended or is to stop: a short code where it is stored, a sentence where it is shown.
+"""Reasons why a task ended or is to stop: short codes in stored records, sentences when shown.
 
-Production stored the sentences themselves, up to 48 characters each, which made a full chunk of
-tasks larger than the state service will take. Its records stay readable: what is no code is
-shown as it stands, and becomes a code when the record is next written. Production shows the
-codes as they are, which is all that it does with them.
+The version in production stored the sentences, up to 48 characters each, which made a full chunk
+of tasks exceed the state service's value limit. Its records remain readable: a reason that is not
+a code is shown as it is, and replaced by a code when the record is next written. That version
+shows codes as they are and uses them for nothing else.
 """
 
 from pulleydeal.store.records import PRIORITIES
@@ -36,21 +36,22 @@
 
 
 def short(reason: str) -> str:
-    """The code that is stored for a reason, be it a sentence or a code already."""
+    """The code to store for a reason, which may be a sentence or already a code."""
     if not reason or reason in _TEXTS:
         return reason
     if reason in _CODES:
         return _CODES[reason]
     if reason.startswith(MADE_ROOM):
-        named = [i for i, name in enumerate(PRIORITIES) if f"({name}" in reason]
-        return f"m{named[0]}" if named else "m"
+        priorities = [i for i, name in enumerate(PRIORITIES) if f"({name}" in reason]
+        return f"m{priorities[0]}" if priorities else "m"
     return "o"
 
 
 def made_room(priority: int) -> str:
-    """Stopped for work of that priority; the log names the job."""
+    """The reason for stopping a task to make room for work of this priority."""
     return _TEXTS[f"m{priority}"]
 
 
 def shown(stored: str) -> str:
+    """The sentence for a stored reason."""
     return _TEXTS.get(stored, stored)
--- a/pulleydeal/store/records.py
+++ b/pulleydeal/store/records.py
@@ -1,23 +1,23 @@
-"""What the service keeps in the state service, in its own (standard) words.
+"""Records that the scheduler stores in the state service, and their keys.
 
-Keys, all under one prefix so that one watch sees every change:
-  p/view          the view: epoch, members, cut pairs
+All keys have one prefix, so that one watch covers every change:
+  p/view          the view: epoch, members, partitioned (member, zone) pairs
   p/n/<member>    a member's incarnation, attached to its lease
-  p/j/<job>       a job: description and status; slim once it is over
-  p/c/<job>/<k>   tasks 32k..32k+31 of a job (absent: all wait for their first start)
+  p/j/<job>       a job: spec and status; without the spec (slim) once over and all tasks gone
+  p/c/<job>/<k>   tasks 32k..32k+31 of a job (absent: none has been started yet)
   p/m/<machine>   a machine
-  p/r/<request>   a rental that may have been asked for and not yet been recorded
+  p/r/<request>   a rental that may have been requested but has not been recorded as machines yet
   p/catalog       the machine types, so that a node can start while the cloud is down
   p/t/<k>         more machine types, where one value does not hold them all
-  p/s/<node>      which records a node's version can keep, and its features; stays when it is away
-  p/f/<feature>/<name>   a feature's own records; read only where the feature is on
-  p/l/<start>/<k>  facts about tasks of any journaled jobs, in the order in which one start of a
+  p/s/<node>      record format of a node's version, and its features; kept while it is away
+  p/f/<feature>/<name>   a feature's own records; read only where the feature is enabled
+  p/l/<start>/<k>  facts about tasks of journaled jobs, in the order in which one incarnation of a
                    node wrote them (store/facts.py); journaled jobs have no p/c/
 
-Other versions read and rewrite these too. A rewrite by an older version drops the fields that it
-does not know, and a new value of a closed set stops it; so fields are only added, at the end,
-each with a meaning when it is absent, and nothing that must last is asked for before every node
-has shown in `p/s/` that it keeps it.
+Nodes of other versions read and rewrite these records too. A rewrite by an older version drops
+fields that it does not know, and an unknown value of a closed set makes it fail. So fields are
+only added, at the end, each with a meaning when absent, and nothing relies on a new field being
+kept before every node has shown in `p/s/` that its version keeps it.
 """
 
 from typing import Literal
@@ -29,12 +29,12 @@
 VIEW = "p/view"
 CATALOG = "p/catalog"
 JOURNAL = "p/l/"
-FEATURE_NAME = r"^[A-Za-z0-9._-]{1,40}(/[A-Za-z0-9._-]{1,60}){0,4}$"  # 200 B is the most for a key
-NOTHING = "p-nothing"  # never written: reading it tells the revision and nothing else
+FEATURE_NAME = r"^[A-Za-z0-9._-]{1,40}(/[A-Za-z0-9._-]{1,60}){0,4}$"  # keys are limited to 200 B
+NOTHING = "p-nothing"  # never written; reading it returns only the revision
 
 Status = Literal["open", "done", "cancelled"]
-# How a status is written. Versions before the journal can't read the last three, and so load
-# nothing while there is such a job: they would see its tasks as never started.
+# Status as stored. Versions without the journal can't decode the last three, so they load nothing
+# while such a job exists. Otherwise they would take its tasks for never started.
 WrittenStatus = Literal[
     "open", "done", "cancelled", "journal-open", "journal-done", "journal-cancelled"
 ]
@@ -70,10 +70,10 @@
 class JobRecord(Struct, omit_defaults=True):
     status: WrittenStatus
     tasks: int
-    at: float = 0.0  # wall clock of acceptance
+    at: float = 0.0  # wall clock: accepted
     spec: JobSpec | None = None  # None once the job is over and all its tasks are gone
-    ended: float = 0.0  # wall clock of its end; 0: not over, or ended by a version without it
-    untold: bool = False  # cancelled, but told to nobody before that can be kept (zones)
+    ended: float = 0.0  # wall clock: ended; 0: not over, or ended by a version without this field
+    untold: bool = False  # cancelled, not reported yet: a cut-off node may keep its tasks (zones)
 
     @property
     def state(self) -> Status:
@@ -81,35 +81,35 @@
 
     @property
     def is_journaled(self) -> bool:
-        """What happens to its tasks is written to journals; a slim record says nothing of it."""
+        """Whether its task states are in journals; False for a slim record."""
         return self.status.startswith(JOURNALED)
 
 
 class Task(Struct, array_like=True, omit_defaults=True):
-    machine: str = ""  # bound to it and not proved gone; empty: waits (or is done)
+    machine: str = ""  # bound to it and not proved gone; empty: waiting or done
     attempt: int = 0
     done: bool = False
     fails: int = 0
     why: str = ""  # why the last attempt ended
-    stop: str = ""  # why this attempt is to be stopped; every owner acts on it
+    stop: str = ""  # why this attempt is to be stopped; whoever owns the machine acts on it
 
 
 class Member(Struct):
     incarnation: str
-    format: int = 0  # constants.FORMAT of the version that runs; 0: the one before there was any
+    format: int = 0  # constants.FORMAT of its version; 0: a version before this field
 
 
 class Software(Struct, omit_defaults=True):
     format: int
     version: str
-    features: dict[str, int] = {}  # feature that is on -> the format of its own records
+    features: dict[str, int] = {}  # enabled feature -> its record format
 
 
 class View(Struct):
     epoch: int = 0
     members: dict[str, str] = {}  # name -> incarnation
     cut: list[tuple[str, str]] = []  # (member, zone) pairs that can't reach each other
-    deaf: list[tuple[str, str]] = []  # (member, zone): it hears none of the machines there (zones)
+    deaf: list[tuple[str, str]] = []  # (member, zone): no machine there is heard (zones)
 
 
 class MachineRecord(Struct, omit_defaults=True):
@@ -163,7 +163,7 @@
 
 
 def written(state: Status, journaled: bool) -> WrittenStatus:
-    """How the state of a job is written, slim records aside."""
+    """The stored status for a job's state; slim records have the plain state."""
     return _WRITTEN[state] if journaled else state
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run's own parts: the order in which events are judged, lines through sizes, one run."""
+"""Parts of the scale experiment: order of events, regression lines, records, and one small run."""
 
 import asyncio
 from typing import Any
@@ -15,22 +15,25 @@
 from standins.town import job
 
 
-def test_events_are_judged_in_the_order_in_which_they_happened() -> None:
-    """What one process did first may be heard last; nothing is judged before all have told."""
+def test_events_are_checked_in_the_order_in_which_they_happened() -> None:
+    """Events of one process may arrive after later ones of another.
+
+    So events are only checked up to the time that all processes have reported.
+    """
     hub = Hub({"core": 0.0}, 34.0)
     hub.rules.uploads["j-1"] = job("j-1")
     hub._take(1, m.Progress(0.0))
     hub._take(2, m.Progress(0.0))
     hub._take(1, m.TaskStarted(5.0, "j-1/0", "vm-2", "t4", "east", False, 4.9))
     hub._take(1, m.Progress(6.0))
-    assert hub.rules.starts == 0  # the other process may have ended an earlier attempt
+    assert hub.rules.starts == 0  # the other process may yet report the end of an earlier attempt
     hub._take(2, m.TaskStarted(1.0, "j-1/0", "vm-1", "t4", "east", False, 0.9))
     hub._take(2, m.TaskEnded(4.0, "j-1/0", "vm-1"))
     hub._take(2, m.Progress(6.0))
     assert hub.rules.starts == 2 and not hub.rules.broken
 
 
-def test_a_task_on_two_machines_is_found_across_processes() -> None:
+def test_task_on_two_machines_is_detected_across_processes() -> None:
     hub = Hub({"core": 0.0}, 34.0)
     hub.rules.uploads["j-1"] = job("j-1")
     for process, block in ((1, "vm-1"), (2, "vm-2")):
@@ -41,24 +44,24 @@
     assert ["ran_twice" in line for line in hub.rules.broken] == [True]
 
 
-def test_an_answer_is_judged_after_what_workers_did_before_it() -> None:
+def test_answer_is_checked_after_earlier_worker_events() -> None:
     hub = Hub({"core": 0.0}, 34.0)
     hub.rules.uploads["j-1"] = job("j-1", lifts=1)
     hub._take(1, m.Progress(0.0))
-    told: list[str] = []
+    confirmed: list[str] = []
 
-    def tell() -> None:
+    def confirm() -> None:
         hub.rules.told("j-1", 200, "done", hub.results, 2.9)
-        told.append("done")
+        confirmed.append("done")
 
-    hub.judge_later(3.0, tell)
+    hub.judge_later(3.0, confirm)
     hub._take(1, m.TaskCompleted(2.0, "j-1/0"))
-    assert not told
+    assert not confirmed
     hub._take(1, m.Progress(4.0))
-    assert told and not hub.rules.broken
+    assert confirmed and not hub.rules.broken
 
 
-def test_a_line_tells_what_it_leaves_unexplained() -> None:
+def test_line_fit_reports_its_residual() -> None:
     line = fit([{"x": x, "y": 2.0 + 3.0 * x} for x in (1, 2, 3, 4)], "x", "y")
     assert (line.at_zero, line.per_unit, line.residual) == pytest.approx((2.0, 3.0, 0.0))
     bent = fit([{"x": x, "y": float(x * x)} for x in (1, 2, 3, 4)], "x", "y")
@@ -67,7 +70,7 @@
         fit([{"x": 1, "y": 1.0}, {"x": 1, "y": 2.0}], "x", "y")
 
 
-def test_the_records_are_those_of_the_tasks_that_run_already() -> None:
+def test_initial_records_match_the_tasks_already_running() -> None:
     size = Size(workers=5, tasks_per_worker=7)
     jobs = held_jobs(size)
     workers = hollow_workers(size, jobs, [f"127.0.0.1:{9000 + i}" for i in range(5)])
@@ -79,14 +82,14 @@
         for index, task in enumerate(value)
     }
     held = {task.task: worker.block for worker in workers for task in worker.tasks}
-    assert len(held) == len(bound) == 64  # whole jobs of one chunk: 35 tasks and more
+    assert len(held) == len(bound) == 64  # 35 tasks, rounded up to whole jobs of 32
     for (key, index), machine in bound.items():
         name = key.split("/")[2]
         assert held[f"{name}/{index}"] == machine
     assert r.machine_key("vm-000005") in records
 
 
-def test_what_arrives_follows_from_the_seed() -> None:
+def test_arriving_jobs_are_determined_by_the_seed() -> None:
     size = Size(starts_per_s=40.0)
     found = arriving_jobs(size, 300.0)
     assert found == arriving_jobs(size, 300.0)
@@ -94,7 +97,7 @@
     assert {body["haul"] for _, body in found} == {"batch", "gang"}
 
 
-def test_a_profile_counts_what_works_and_leaves_out_waiting() -> None:
+def test_profile_counts_work_and_excludes_waiting() -> None:
     profile = Profile()
     work = "main (pulleydeal/cli.py:1);Store.commit (pulleydeal/store/service.py:9)"
     profile.add(f"{work};send (pulleydeal/http.py:2) 3\n{work} 1\nselect (selectors.py:468) 99\n")
@@ -103,7 +106,7 @@
     assert found[1]["share"] == 0.75 and found[1]["ms a second"] == 375.0
 
 
-def test_a_small_run_with_real_processes_starts_urgent_work_and_breaks_no_rule() -> None:
+def test_small_run_with_real_processes_starts_urgent_work_and_breaks_no_rule() -> None:
     size = Size(
         workers=12, tasks_per_worker=3, starts_per_s=6.0, settle_s=2.0, measure_s=6.0, seed=4
     )
