--- a/pulleydeal/store/records.py
+++ b/pulleydeal/store/records.py
@@ -192,8 +192,8 @@
     return f"p/n/{member}"
 
 
-def journal_key(start: str, place: str) -> str:
-    return f"{JOURNAL}{start}/{place}"
+def journal_key(start: str, number: str) -> str:
+    return f"{JOURNAL}{start}/{number}"
 
 
 def types_key(index: int) -> str:
--- a/pulleydeal/store/replica.py
+++ b/pulleydeal/store/replica.py
@@ -88,7 +88,8 @@
         self.journals: dict[str, JournalValue] = {}
         self._facts_before_job: dict[str, list[facts.Fact]] = {}
         self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks whose state is no single fact
-        self._versions: dict[str, int] = {}
+        self._versions: dict[str, int] = {}  # key -> version
+        # Deleted key -> version of its delete, until the replica's revision has reached it.
         self._deleted: dict[str, int] = {}
 
     def keep_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
@@ -265,8 +266,8 @@
             cpus, gpus = self._usage.get(spec.team, (0.0, 0.0))
             self._usage[spec.team] = (cpus + tasks * spec.cpus, gpus + tasks * spec.gpus)
 
-    def _set_journal(self, place: str, new_facts: list[facts.Fact], version: int) -> None:
-        self.journals[place] = JournalValue(version, new_facts)
+    def _set_journal(self, name: str, new_facts: list[facts.Fact], version: int) -> None:
+        self.journals[name] = JournalValue(version, new_facts)
         self._merge(new_facts)
 
     def _merge(self, new_facts: list[facts.Fact]) -> None:
