--- a/pulleydeal/background.py
+++ b/pulleydeal/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on beside its asker: its failure is always taken, and told in one line."""
+"""Background tasks whose exceptions are always retrieved, and logged in one line."""
 
 import asyncio
 import logging
@@ -9,28 +9,29 @@
 
 
 class Background:
-    """Holds what was started until it is over; `failed` names it in the log."""
+    """Keeps a reference to each task until it ends, and logs `failure_message` if it fails."""
 
-    def __init__(self, failed: str) -> None:
-        self._failed = failed
+    def __init__(self, failure_message: str) -> None:
+        self._failure_message = failure_message
         self._running: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task: asyncio.Task[None] = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task: asyncio.Task[None] = asyncio.ensure_future(coroutine)
         self._running.add(task)
         task.add_done_callback(self._done)
 
     def _done(self, task: asyncio.Task[None]) -> None:
         self._running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            log.info("%s: %r", self._failed, error)
+            log.info("%s: %r", self._failure_message, error)
 
 
 def take_failure(future: "asyncio.Future[Any]") -> None:
-    """A done callback for what several wait for: they may all have given up before it fails.
+    """Done callback for a future that several callers await: retrieves its exception.
 
-    Without it each state outage left tens of `Task exception was never retrieved` in the log,
-    with some 47 lines of traceback each: `Store.fresh` gave up while its shared read went on.
+    All callers may have timed out before it fails, as those of `Store.fresh` do while the read that
+    they share goes on. Without this, each outage of the state service left tens of
+    `Task exception was never retrieved` in the log, with some 47 lines of traceback each.
     """
     if not future.cancelled():
         future.exception()
--- a/pulleydeal/clock.py
+++ b/pulleydeal/clock.py
@@ -1,4 +1,4 @@
-"""Clocks. Decisions get the time passed in; only the edge asks one of these."""
+"""Clocks. Pure functions get the time as an argument; only the services read a clock."""
 
 import time
 from typing import Protocol
@@ -6,10 +6,10 @@
 
 class Clock(Protocol):
     def now(self) -> float:
-        """Steady seconds; only differences mean anything."""
+        """Monotonic seconds; only differences are meaningful."""
 
     def wall(self) -> float:
-        """Seconds since the epoch, within clock_error_ms of true time."""
+        """Seconds since the Unix epoch, within clock_error_ms of true time."""
 
 
 class SystemClock:
--- a/pulleydeal/frames.py
+++ b/pulleydeal/frames.py
@@ -1,4 +1,4 @@
-"""Hand-packed binary fields (struct) for what controllers say to each other."""
+"""Binary encoding (struct) of the messages between controllers."""
 
 import struct
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class BadFrame(Exception):
-    """A frame ends early or holds what it can't."""
+    """A frame is truncated or holds an invalid value."""
 
 
 class Packer:
@@ -62,27 +62,27 @@
 class Unpacker:
     def __init__(self, data: bytes) -> None:
         self._data = data
-        self._at = 0
+        self._offset = 0
 
     def more(self) -> bool:
-        """Whether anything is left: a newer version may have added fields at the end."""
-        return self._at < len(self._data)
+        """Whether bytes are left: a newer version may have added fields at the end."""
+        return self._offset < len(self._data)
 
-    def _take(self, form: struct.Struct) -> tuple[Any, ...]:
+    def _take(self, layout: struct.Struct) -> tuple[Any, ...]:
         try:
-            values = form.unpack_from(self._data, self._at)
+            values = layout.unpack_from(self._data, self._offset)
         except struct.error:
-            raise BadFrame("frame ends early") from None
-        self._at += form.size
+            raise BadFrame("truncated frame") from None
+        self._offset += layout.size
         return values
 
-    def _raw(self, size: int) -> bytes:
-        end = self._at + size
+    def _take_bytes(self, size: int) -> bytes:
+        end = self._offset + size
         if end > len(self._data):
-            raise BadFrame("frame ends early")
-        piece = self._data[self._at : end]
-        self._at = end
-        return piece
+            raise BadFrame("truncated frame")
+        data = self._data[self._offset : end]
+        self._offset = end
+        return data
 
     def u8(self) -> int:
         return int(self._take(_U8)[0])
@@ -105,9 +105,9 @@
 
     def text(self) -> str:
         try:
-            return self._raw(self.u16()).decode()
+            return self._take_bytes(self.u16()).decode()
         except UnicodeDecodeError as error:
-            raise BadFrame("not UTF-8") from error
+            raise BadFrame("text field is not valid UTF-8") from error
 
     def texts(self) -> list[str]:
         return [self.text() for _ in range(self.u16())]
