--- a/pulleydeal/membership/__init__.py
+++ b/pulleydeal/membership/__init__.py
@@ -1,1 +1,1 @@
-"""View, epoch, siblings: who is a member, and who owns what."""
+"""Cluster membership: view and epoch, heartbeats between controllers, ownership and leadership."""
--- a/pulleydeal/membership/messages.py
+++ b/pulleydeal/membership/messages.py
@@ -1,10 +1,10 @@
-"""Heartbeats between controllers: how I stand, and the credit totals I publish."""
+"""Heartbeats between controllers: the sender's state and its published credit totals."""
 
 from dataclasses import dataclass, field
 
 from pulleydeal.frames import Packer, Unpacker
 
-HELLO, BEAT, ASK, HOLD, FREE, IMAGES = range(1, 7)  # every message type spoken on `back`
+HELLO, BEAT, ASK, HOLD, FREE, IMAGES = range(1, 7)  # message types; features add their own
 
 
 Images = dict[str, tuple[float, float]]
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Total:
-    """Published credit of one kind of machine at one owner."""
+    """Credit that one owner publishes for its machines of one type and zone, spot or not."""
 
     type: str
     zone: str
@@ -22,20 +22,20 @@
     memory: float = 0.0
     largest_cpus: float = 0.0
     largest_gpus: float = 0.0
-    # Image -> most cpus and gpus free on a machine that has it, and most that could be made
-    # free for high priorities by stopping lower ones.
+    # Image -> most cpus and most gpus free on any machine that has it; in `stoppable`, most that
+    # could be freed for high priorities by stopping tasks of lower ones.
     images: Images = field(default_factory=dict)
     stoppable: Images = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Vouch:
-    """By which a sibling that is blind can tell how old the sender's word is, by its own clock."""
+    """Lets a sibling without the state service tell, by its own clock, how old a heartbeat is."""
 
-    incarnation: str  # of the sender's start
-    stamp: float  # the sender's own steady clock; means nothing to others but to send back
-    complete_from: int  # all cancellations newer than this that the sender knows are named
-    # Sibling -> the start and the stamp that were last heard of it.
+    incarnation: str  # of the sending process
+    stamp: float  # the sender's steady clock; others only send it back
+    complete_from: int  # `cancelled` names all newer than this revision that the sender knows
+    # Sibling -> incarnation and stamp that were last received from it.
     echoes: dict[str, tuple[str, float]] = field(default_factory=dict)
 
 
@@ -43,11 +43,11 @@
 class Beat:
     epoch: int
     totals: list[Total] = field(default_factory=list)
-    cancelled: list[str] = field(default_factory=list)  # over, with tasks not proved gone
-    hears: list[str] = field(default_factory=list)  # siblings that the sender hears now
-    writes: float = 0.0  # changes a second that it lately sent to the state service
-    served: bool = True  # the state service answers it
-    vouch: Vouch | None = None  # None: of a version without it, which vouches for nothing
+    cancelled: list[str] = field(default_factory=list)  # jobs with tasks not proved gone
+    hears: list[str] = field(default_factory=list)  # siblings heard within HEARD_NOW_S
+    writes: float = 0.0  # recent changes per second by the sender to the state service
+    served: bool = True  # whether the state service answers the sender
+    vouch: Vouch | None = None  # None: the sender's version has none and proves nothing
 
 
 def _pack_images(packer: Packer, images: Images) -> None:
@@ -68,7 +68,7 @@
         _pack_images(packer, t.images)
         _pack_images(packer, t.stoppable)
     packer.texts(beat.cancelled).texts(beat.hears).f64(beat.writes).u8(beat.served)
-    if (vouch := beat.vouch) is not None:  # older versions don't read on
+    if (vouch := beat.vouch) is not None:  # last: older versions stop reading before it
         packer.text(vouch.incarnation).f64(vouch.stamp).u64(vouch.complete_from)
         packer.u16(len(vouch.echoes))
         for node, (incarnation, stamp) in vouch.echoes.items():
--- a/pulleydeal/membership/service.py
+++ b/pulleydeal/membership/service.py
@@ -1,4 +1,7 @@
-"""Joins the view, keeps the lease, removes dead members and records cuts."""
+"""Cluster membership: joins the view, renews the member lease, removes dead members, records cuts.
+
+A cut is a (member, zone) pair in the view: that member and that zone can't reach each other.
+"""
 
 import asyncio
 import logging
@@ -8,7 +11,7 @@
 from pulleydeal import __version__, rules
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
-from pulleydeal.membership import view as decide
+from pulleydeal.membership import view as views
 from pulleydeal.membership import vouching
 from pulleydeal.membership.messages import BEAT, Beat, Total, Vouch, pack_beat, unpack_beat
 from pulleydeal.membership.siblings import Siblings
@@ -32,32 +35,34 @@
     ) -> None:
         self.me = settings.node_name
         self._settings = settings
-        self._limited = {name for name, team in settings.teams.items() if rules.limited(team)}
+        self._limited_teams = {name for name, team in settings.teams.items() if rules.limited(team)}
         self._store = store
         self._replica: Replica = store.replica
         self._siblings = siblings
         self._clock = clock
         self.incarnation = f"{rng.getrandbits(48):012x}"
         self._lease: int | None = None
-        self._entered = False  # whether what shows this start's name can be its own
+        self._incarnation_checked = False  # whether it differs from those stored for this node
         self._rng = rng
         self._renewed_at = -1e9
         self._beats: dict[str, tuple[float, Beat]] = {}
-        self._stamps: dict[str, tuple[str, float]] = {}  # sibling -> what is sent back to it
-        # Relayed in beats and not yet shown by the replica. A cancellation never turns back, so
-        # what an earlier start of a sibling said stays true after that start.
-        self._relayed: set[str] = set()
-        self._shown_epochs: dict[str, int] = {}  # sibling -> newest view that it has shown
-        self._looked: tuple[int, bool] = (0, False)  # the last view looked at, and if a member
-        self._member_from = 0  # epoch from which on this start was a member without a break
-        self._written = 0  # changes sent by the last heartbeat
-        self._writes = 0.0  # and lately, a second
-        self.serves: dict[str, int] = {}  # feature that is on here -> the format of its records
+        # Sibling -> incarnation and timestamp of its last heartbeat, sent back to it with the next.
+        self._echoes: dict[str, tuple[str, float]] = {}
+        # Jobs that heartbeats named as cancelled and that the replica does not show as over yet.
+        # A cancellation is final, so what a sibling said stays true after that sibling restarts.
+        self._relayed_cancels: set[str] = set()
+        self._reported_epochs: dict[str, int] = {}  # sibling -> newest epoch in its heartbeats
+        # Epoch of the last view that was examined, and whether this node was a member in it.
+        self._examined_view: tuple[int, bool] = (0, False)
+        self._member_since_epoch = 0  # first epoch of this process's unbroken membership
+        self._written_at_last_beat = 0  # the client's count of changes at the last heartbeat
+        self._write_rate = 0.0  # changes per second to the state service, smoothed
+        self.serves: dict[str, int] = {}  # feature enabled on this node -> its record format
         self.totals: Callable[[], list[Total]] = list
         siblings.on(BEAT, self._on_beat)
         self._replica.listen(self._on_change)
 
-    # --- what the others ask --------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------
     @property
     def view(self) -> r.View:
         return self._replica.view
@@ -68,56 +73,61 @@
 
     @property
     def is_member(self) -> bool:
-        return self._entered and self.view.members.get(self.me) == self.incarnation
+        return self._incarnation_checked and self.view.members.get(self.me) == self.incarnation
 
     def owner(self, machine: str, zone: str) -> str:
-        return decide.owner(self.view, machine, zone)
+        return views.owner(self.view, machine, zone)
 
     def owns(self, machine: str, zone: str) -> bool:
         return self.is_member and self.owner(machine, zone) == self.me
 
     def all_keep(self, format_: int) -> bool:
-        """Every node of the settings has durably shown that it keeps such records.
+        """Whether every configured node has durably announced that it supports this format.
 
-        One that is merely away may come back with an older version, and one that serves may have
-        been put back to it: neither counts as having shown it.
+        The software records cover nodes that are down, as they may come back with an older version.
+        The member records cover running nodes, as they may have been rolled back to one.
         """
         return all(self._replica.software.get(node, 0) >= format_ for node in self.nodes()) and all(
             self._replica.formats.get(member, 0) >= format_ for member in self._replica.members
         )
 
     def all_serve(self, feature: str, format_: int) -> bool:
-        """Every node of the settings has durably shown that it has the feature on, so that its
-        records may be relied on, whichever node comes to lead."""
+        """Whether every configured node has durably announced that the feature is enabled on it.
+
+        Only then can the feature's records be relied on, whichever node becomes the leader.
+        """
         return self.all_keep(c.FORMAT_FEATURES) and all(
             self._replica.shown.get(node, {}).get(feature, 0) >= format_ for node in self.nodes()
         )
 
     def leads_job(self, spec: r.JobSpec) -> bool:
-        """A limited team's jobs have one leader, which so holds the team's whole allowance."""
-        limited = spec.team in self._limited
+        """Whether this node leads the job.
+
+        All jobs of a team with a limit have the same leader, which accounts for the whole limit.
+        """
+        limited = spec.team in self._limited_teams
         return self.leads(f"team {spec.team}" if limited else f"job {spec.id}")
 
     def leads_fleet(self) -> bool:
         return self.leads("fleet")
 
-    def leads(self, thing: str) -> bool:
-        """Whether this node decides about the named thing, in the present view."""
-        return self.is_member and self.leader(thing) == self.me
+    def leads(self, subject: str) -> bool:
+        """Whether this node decides about `subject` in the current view."""
+        return self.is_member and self.leader(subject) == self.me
 
-    def leader(self, thing: str) -> str:
-        """The member that decides about the named thing; empty: there is none."""
-        return decide.pick(list(self.view.members), thing)
+    def leader(self, subject: str) -> str:
+        """The member that decides about `subject`; empty if the view has no members."""
+        return views.pick(list(self.view.members), subject)
 
     def nodes(self) -> list[str]:
-        """All nodes of the settings, whether they are members or not."""
+        """All configured nodes, whether they are members or not."""
         return [self.me, *(s.node_name for s in self._settings.siblings)]
 
     def zone_of(self, node: str) -> str:
         return self._settings.zone_of(node)
 
     def parts(self) -> dict[str, list[Total]]:
-        """The parts that can be asked now, with the credit each one published."""
+        """The published credit totals by owner: this node and the members heard in CUT_AFTER_S."""
         now = self._clock.now()
         known = {
             name: beat.totals
@@ -129,37 +139,38 @@
         return known
 
     def relayed_cancels(self) -> set[str]:
-        return self._relayed
+        """Jobs that siblings named as cancelled and that the replica does not show as over yet."""
+        return self._relayed_cancels
 
     def vouched_at(self) -> float:
-        """The moment up to which the other members' word covers what this node's copy lacks."""
+        """Time up to which the members' heartbeats cover cancellations missing from the replica."""
         if not self.all_keep(c.FORMAT_VOUCHES):
-            return vouching.NEVER  # one of an older version might tell what nobody here hears of
+            return vouching.NEVER  # an older version may confirm what no heartbeat announces
         beats = {name: beat for name, (_, beat) in self._beats.items()}
         view, revision = self.view, self._replica.revision
         now = self._clock.now()
         return vouching.vouched_at(view, self.me, self.incarnation, revision, beats, now)
 
     def known_as_member(self) -> bool:
-        """Whether it may tell cancellations whose tasks are not proved gone."""
+        """Whether this node may confirm cancellations whose tasks are not proved gone."""
         others = [node for node in self.nodes() if node != self.me]
         return self.is_member and vouching.known_as_member(
-            self._member_from, self._shown_epochs, others
+            self._member_since_epoch, self._reported_epochs, others
         )
 
     def _on_change(self, kind: str, _name: str) -> None:
         if kind != "view":
             return
-        epoch, was = self._looked
-        self._looked = (self.epoch, self.is_member)
-        # In a view that was never looked at here it may not have been a member.
-        if self.is_member and (not was or self.epoch > epoch + 1):
-            self._member_from = self.epoch
+        epoch, was_member = self._examined_view
+        self._examined_view = (self.epoch, self.is_member)
+        # This node may not have been a member in a view that it never saw.
+        if self.is_member and (not was_member or self.epoch > epoch + 1):
+            self._member_since_epoch = self.epoch
 
     def shut_out(self) -> bool:
-        """The state service answers a sibling, but not this node: users are better off there.
+        """Whether the state service answers a sibling but not this node, so users should go there.
 
-        In an outage for all it is False: no node would be left for users to hear "later" from.
+        False in an outage that affects all nodes: some must stay to tell users when to retry.
         """
         now = self._clock.now()
         return self._store.client.failing_s() >= c.SHUT_OUT_S and any(
@@ -168,11 +179,11 @@
 
     # --- loops ----------------------------------------------------------------------------
     async def keep(self) -> None:
-        """One round of keeping the membership; run for ever."""
+        """One round of joining the view or renewing the member lease; run in a loop."""
         if not self._replica.loaded:
             await asyncio.sleep(0.02)
             return
-        if not self._entered:
+        if not self._incarnation_checked:
             self.enter()
         alive = self._replica.members.get(self.me) == self.incarnation
         if not self.is_member or not alive or self._lease is None:
@@ -183,29 +194,30 @@
             await asyncio.sleep(0.1)
 
     def enter(self) -> None:
-        """Before this start's first try to join, what shows its name is an earlier start's.
+        """Draws a new incarnation if this process's is stored for the node; run before joining.
 
-        Taken for a member, it would act on that start's epoch, with its tokens.
+        Incarnations are random, so one stored by an earlier process may be the same. Taken for its
+        own, this process would act as a member in that process's epoch, with its fencing tokens.
         """
-        shown = {self._replica.members.get(self.me), self.view.members.get(self.me)}
-        while self.incarnation in shown:
+        stored = {self._replica.members.get(self.me), self.view.members.get(self.me)}
+        while self.incarnation in stored:
             self.incarnation = f"{self._rng.getrandbits(48):012x}"
-        self._entered = True
+        self._incarnation_checked = True
 
     async def _join(self) -> None:
         if self._lease is None:
             self._lease = await self._store.client.grant(c.MEMBER_TTL_MS)
         view = self.view
         if view.members.get(self.me) not in (None, self.incarnation):
-            log.info("replaces an earlier start of this node")
+            log.info("replacing the membership of an earlier process of this node")
         member = r.member_key(self.me)
         puts: dict[str, object] = {member: r.Member(self.incarnation, c.FORMAT)}
-        shown = (self._replica.software.get(self.me), self._replica.shown.get(self.me))
-        if shown != (c.FORMAT, self.serves):
+        announced = (self._replica.software.get(self.me), self._replica.shown.get(self.me))
+        if announced != (c.FORMAT, self.serves):
             software = r.Software(c.FORMAT, __version__, self.serves)
             puts[r.software_key(self.me)] = software
         if not self.is_member:
-            puts[r.VIEW] = decide.joined(view, self.me, self.incarnation)
+            puts[r.VIEW] = views.joined(view, self.me, self.incarnation)
         try:
             ok = await self._store.commit(
                 {r.VIEW: self._replica.view_version}, puts, lease={member: self._lease}
@@ -216,7 +228,7 @@
         if ok:
             self._renewed_at = self._clock.now()
             log.info(
-                "member in epoch %d: %s",
+                "joined the view in epoch %d, members: %s",
                 self.epoch,
                 sorted(self.view.members),
                 extra={"epoch": self.epoch},
@@ -229,32 +241,32 @@
             await self._store.client.renew(self._lease)
             self._renewed_at = sent_at
         except LeaseLost:
-            log.info("member lease lost")
+            log.info("member lease expired; joining again")
             self._lease = None
 
     async def tend(self) -> None:
-        """One round of removing dead members and recording cuts; run for ever."""
+        """One round of removing dead members and recording cuts; run in a loop."""
         await asyncio.sleep(0.1)
         if not self.is_member:
             return
-        gone = [m for m in decide.dead(self.view, self._replica.members) if m != self.me]
+        gone = [m for m in views.dead(self.view, self._replica.members) if m != self.me]
         conditions = {r.VIEW: self._replica.view_version}
         if gone:
-            # Conditional on the lease key's absence too: a member that came back stays.
+            # Also conditional on the lease keys' absence, so that a member that came back stays.
             vanished = [m for m in gone if m not in self._replica.members]
             conditions |= {r.member_key(m): 0 for m in vanished}
             if vanished and await self._store.commit(
-                conditions, {r.VIEW: decide.without(self.view, vanished)}
+                conditions, {r.VIEW: views.without(self.view, vanished)}
             ):
                 log.info(
-                    "epoch %d: without %s, whose lease ended",
+                    "epoch %d: removed %s, whose member lease expired",
                     self.epoch,
                     vanished,
                     extra={"epoch": self.epoch},
                 )
             return
         zones = {m: self._settings.zone_of(m) for m in self.view.members}
-        changed = decide.with_cuts(
+        changed = views.with_cuts(
             self.view,
             self.me,
             zones,
@@ -264,29 +276,35 @@
         )
         if changed is not None and await self._store.commit(conditions, {r.VIEW: changed}):
             log.info(
-                "epoch %d: cut pairs now %s", self.epoch, self.view.cut, extra={"epoch": self.epoch}
+                "epoch %d: cut pairs: %s", self.epoch, self.view.cut, extra={"epoch": self.epoch}
             )
 
     async def say_deaf(self, zones: set[str]) -> bool:
-        """Makes durable to which zones this node is deaf; true: the view says so."""
-        changed = decide.with_deaf(self.view, self.me, zones)
+        """Records in the view the zones whose machines this node does not hear.
+
+        Returns whether the view states exactly these zones.
+        """
+        changed = views.with_deaf(self.view, self.me, zones)
         if changed is None or not self.is_member:
             return changed is None
         ok = await self._store.commit({r.VIEW: self._replica.view_version}, {r.VIEW: changed})
         if ok:
             log.info(
-                "epoch %d: %s is deaf to %s",
+                "epoch %d: zones whose machines %s does not hear: %s",
                 self.epoch,
                 self.me,
-                sorted(zones) or "no zone any more",
+                sorted(zones) or "none",
                 extra={"epoch": self.epoch},
             )
         return ok
 
     async def beat(self) -> None:
+        """One round: sends a heartbeat and takes up the write rate that siblings don't use."""
         written = self._store.client.written
-        self._writes = 0.5 * self._writes + 0.5 * (written - self._written) / c.BEAT_S
-        self._written = written
+        self._write_rate = (
+            0.5 * self._write_rate + 0.5 * (written - self._written_at_last_beat) / c.BEAT_S
+        )
+        self._written_at_last_beat = written
         self.send_beat()
         now = self._clock.now()
         others: list[float | None] = []
@@ -298,26 +316,26 @@
         await asyncio.sleep(c.BEAT_S)
 
     def send_beat(self) -> None:
-        cancelled, complete_from = vouching.named(
+        cancelled, complete_from = vouching.announced_cancellations(
             map(self._replica.jobs.__getitem__, self._replica.cancelled_jobs),
             self._replica.loaded,
         )
         totals = self.totals() if self.is_member else []
-        hears = [name for name, s in self._siblings.heard_s().items() if s < c.HEARD_NOW_S]
+        hears = [name for name, age_s in self._siblings.heard_s().items() if age_s < c.HEARD_NOW_S]
         served = self._store.client.failing_s() < c.SHUT_OUT_S
-        vouch = Vouch(self.incarnation, self._clock.now(), complete_from, self._stamps)
-        beat = Beat(self.epoch, totals, cancelled, hears, self._writes, served, vouch)
+        vouch = Vouch(self.incarnation, self._clock.now(), complete_from, self._echoes)
+        beat = Beat(self.epoch, totals, cancelled, hears, self._write_rate, served, vouch)
         self._siblings.broadcast(BEAT, pack_beat(beat))
 
     def _on_beat(self, sender: str, payload: bytes) -> None:
         beat = unpack_beat(payload)
         self._beats[sender] = (self._clock.now(), beat)
-        vouching.heard_from(sender, beat.vouch, self._stamps)
-        self._shown_epochs[sender] = max(beat.epoch, self._shown_epochs.get(sender, 0))
-        if beat.cancelled or self._relayed:
+        vouching.update_echo(sender, beat.vouch, self._echoes)
+        self._reported_epochs[sender] = max(beat.epoch, self._reported_epochs.get(sender, 0))
+        if beat.cancelled or self._relayed_cancels:
             jobs = self._replica.jobs
-            self._relayed = {
+            self._relayed_cancels = {
                 name
-                for name in self._relayed.union(beat.cancelled)
+                for name in self._relayed_cancels.union(beat.cancelled)
                 if (job := jobs.get(name)) is None or not job.is_over
             }
--- a/pulleydeal/membership/view.py
+++ b/pulleydeal/membership/view.py
@@ -1,4 +1,4 @@
-"""Plain decisions about the view: who owns and leads what, and how the view changes next."""
+"""Pure functions on the view: who owns and leads what, and how the view changes."""
 
 import hashlib
 from functools import lru_cache
@@ -10,19 +10,20 @@
 
 
 @lru_cache(maxsize=c.WEIGHTS_KEPT)
-def _weight(member: str, thing: str) -> bytes:
-    return hashlib.blake2b(f"{member}\0{thing}".encode(), digest_size=8).digest()
+def _weight(member: str, subject: str) -> bytes:
+    return hashlib.blake2b(f"{member}\0{subject}".encode(), digest_size=8).digest()
 
 
-def pick(members: list[str], thing: str) -> str:
-    """Rendezvous hashing: a change of members moves only what the changed ones held."""
-    return max(members, key=lambda member: (_weight(member, thing), member), default="")
+def pick(members: list[str], subject: str) -> str:
+    """Rendezvous hashing: a change of members moves only what the changed members held."""
+    return max(members, key=lambda member: (_weight(member, subject), member), default="")
 
 
 def owner(view: View, machine: str, zone: str) -> str:
-    """The member that owns a machine: the heaviest of those that can reach its zone.
+    """The member that owns a machine, chosen among those that can reach its zone.
 
-    A deaf one only where no other is left: it may hear them again, a cut one won't.
+    A member that does not hear the zone's machines (`deaf`) is chosen only if no other is left,
+    but before one that is cut off from it: it may hear them again, the other won't.
     """
     reaching = [m for m in view.members if (m, zone) not in view.cut]
     hearing = [m for m in reaching if (m, zone) not in view.deaf]
@@ -30,23 +31,26 @@
 
 
 def token(epoch: int, fence: int) -> int:
+    """The fencing token: the epoch, followed by EPOCH_SHIFT bits of the machine's fence counter."""
     return (epoch << c.EPOCH_SHIFT) | fence
 
 
 def joined(view: View, member: str, incarnation: str) -> View:
+    """The next view, with `member` added and no cut or deaf pairs of it."""
     members = {**view.members, member: incarnation}
     cut = [pair for pair in view.cut if pair[0] != member]
     return View(view.epoch + 1, members, cut, [pair for pair in view.deaf if pair[0] != member])
 
 
 def without(view: View, gone: list[str]) -> View:
+    """The next view, with these members and their pairs removed."""
     members = {m: i for m, i in view.members.items() if m not in gone}
     cut, deaf = ([p for p in pairs if p[0] in members] for pairs in (view.cut, view.deaf))
     return View(view.epoch + 1, members, cut, deaf)
 
 
 def with_deaf(view: View, member: str, zones: set[str]) -> View | None:
-    """The view in which `member` is deaf to just these zones, or None when it is that already."""
+    """The next view, with `member` deaf to exactly these zones; None if it is so already."""
     deaf = {p for p in view.deaf if p[0] != member} | {(member, zone) for zone in zones}
     if deaf == set(view.deaf):
         return None
@@ -54,7 +58,7 @@
 
 
 def dead(view: View, alive: dict[str, str]) -> list[str]:
-    """Members whose lease key is gone, or belongs to a later start of theirs."""
+    """Members whose lease key is missing or belongs to another incarnation."""
     return [m for m, incarnation in view.members.items() if alive.get(m) != incarnation]
 
 
@@ -66,11 +70,11 @@
     steady_s: dict[str, float],
     hears_me: set[str],
 ) -> View | None:
-    """The view with the cuts that `me` sees, or None when nothing changes.
+    """The next view, with the cuts that `me` detects; None if nothing changes.
 
-    `heard_s`: seconds since each sibling was heard; `steady_s`: for how long it has now been
-    heard without a break; `hears_me`: siblings that say they hear us. A single lost beat changes
-    nothing, and a link that flaps or works one way only stays cut.
+    `heard_s`: seconds since each sibling was last heard; `steady_s`: seconds since its last long
+    silence ended; `hears_me`: siblings that report hearing this node. A single lost heartbeat
+    changes nothing, and a link that flaps or works in one direction only stays cut.
     """
     cut = set(view.cut)
     for sibling in view.members:
@@ -80,7 +84,8 @@
         if heard_s.get(sibling, 0.0) > c.CUT_AFTER_S:
             cut |= pairs
         elif (
-            # Both ends must hear, and now: else one end undoes what the other just recorded.
+            # Both ends must hear each other now, or one end would undo the cut that the other
+            # has just recorded.
             sibling in hears_me
             and heard_s.get(sibling, 0.0) < c.HEARD_NOW_S
             and steady_s.get(sibling, 0.0) > c.HEAL_AFTER_S
--- a/pulleydeal/membership/vouching.py
+++ b/pulleydeal/membership/vouching.py
@@ -1,7 +1,11 @@
-"""How fresh a blind node's knowledge of cancellations is by other members' word.
+"""How current a node's knowledge of cancellations is, as proved by the other members' heartbeats.
 
-Plain functions. The argument, with each term's source, is in docs/design.md (`ran_cancelled`);
-`tests/model/blind_owner.py` explores it.
+A blind node, one that can't reach the state service, learns of cancellations from heartbeats. Each
+heartbeat returns the last timestamp that its sender got from the receiver, which shows how old the
+heartbeat is at most, by the receiver's own clock.
+
+Pure functions. The correctness argument is in docs/design.md (`ran_cancelled`);
+`tests/model/blind_owner.py` checks it by exhaustive exploration.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,22 +15,22 @@
 from pulleydeal.store.job import Job
 from pulleydeal.store.records import View
 
-NEVER = -1e9  # steady time before anything
+NEVER = -1e9  # before any time of the steady clock
 
 
-def named(cancelled: Iterable[Job], loaded: bool) -> tuple[list[str], int]:
-    """The cancellations that a beat names, and the revision after which it names all that its
-    sender knows: the newest go first, as a blind node lacks just those.
+def announced_cancellations(cancelled: Iterable[Job], loaded: bool) -> tuple[list[str], int]:
+    """The cancelled jobs that a heartbeat names, and the revision after which the list is complete.
 
-    A start that has read nothing yet knows less than its earlier starts have told: its empty
-    list vouches for nothing.
+    The newest are named first, as those are what a blind node lacks. A process that has not loaded
+    its replica may know less than an earlier process of the node has confirmed, so its list is
+    complete from no revision on.
     """
     newest = sorted(cancelled, key=lambda job: (-job.version, job.id))
     names = [job.id for job in newest[: c.RELAYED_CANCELS]]
     if not loaded:
         return names, c.NOTHING_COMPLETE
-    left = newest[c.RELAYED_CANCELS :]
-    return names, left[0].version if left else 0
+    omitted = newest[c.RELAYED_CANCELS :]
+    return names, omitted[0].version if omitted else 0
 
 
 def vouched_at(
@@ -37,12 +41,13 @@
     beats: Mapping[str, Beat],
     now: float,
 ) -> float:
-    """The moment up to which every cancellation that was told is known to this node, by its own
-    steady clock: the oldest of its stamps that the other members sent back. When a beat arrived
-    says nothing: it may have been held for minutes.
+    """Time up to which this node knows all confirmed cancellations, by its own steady clock.
+
+    This is the oldest of its own stamps that the other members sent back. The arrival of a
+    heartbeat proves nothing, as it may have been delayed for minutes.
 
-    `revision`: of this node's copy. A member that is of another epoch, or that did not name all
-    cancellations newer than the copy, vouches for nothing.
+    `revision`: of this node's replica. The result is NEVER if a member reports another epoch or
+    omitted a cancellation newer than the replica.
     """
     at = now
     for member in view.members:
@@ -51,35 +56,41 @@
         beat = beats.get(member)
         if beat is None or beat.vouch is None or beat.epoch != view.epoch:
             return NEVER
-        start, stamp = beat.vouch.echoes.get(me, ("", NEVER))
-        if start != incarnation or stamp > now or beat.vouch.complete_from > revision:
+        sent_by, stamp = beat.vouch.echoes.get(me, ("", NEVER))
+        if sent_by != incarnation or stamp > now or beat.vouch.complete_from > revision:
             return NEVER
         at = min(at, stamp)
     return at
 
 
-def may_renew(knows_at: float, limit_s: float, now: float) -> bool:
-    """Whether a node may answer machines' reports: any cancellation that it does not know was told
-    less than `limit_s` ago, and what it renews now is over a lease later at the latest.
+def may_renew(known_at: float, limit_s: float, now: float) -> bool:
+    """Whether a node may answer machines' reports, which renews their leases.
+
+    Any cancellation that it does not know was confirmed less than `limit_s` ago, and a lease that
+    it renews now ends one lease period later at the latest.
 
-    `knows_at`: when its copy was current or the others were asked, whichever is later; not when an
-    answer arrived (docs/incidents/blind-owners.md).
+    `known_at`: a time up to which it knows all confirmed cancellations, taken from when its replica
+    or the other members were asked, and not from when an answer arrived
+    (docs/incidents/blind-owners.md).
     """
-    return now - knows_at < limit_s
+    return now - known_at < limit_s
 
 
-def known_as_member(member_from: int, shown_epochs: Mapping[str, int], others: list[str]) -> bool:
-    """Whether every other node has shown a view in which this start is a member.
+def known_as_member(
+    member_since_epoch: int, reported_epochs: Mapping[str, int], others: list[str]
+) -> bool:
+    """Whether every other node has reported a view in which this process is a member.
 
-    Two nodes that are blind in an older one vouch for each other without this node's word, which
-    they don't ask for; so it tells a cancellation only on proof until they have seen it.
+    Two blind nodes with an older view accept each other's heartbeats without asking for this
+    node's. Until they have seen the newer view, it confirms a cancellation only once the tasks are
+    proved gone.
     """
-    return all(shown_epochs.get(node, 0) >= member_from for node in others)
+    return all(reported_epochs.get(node, 0) >= member_since_epoch for node in others)
 
 
-def heard_from(sender: str, vouch: Vouch | None, stamps: dict[str, tuple[str, float]]) -> None:
-    """What is sent back to a sender with the next beat: the last that was heard of it."""
+def update_echo(sender: str, vouch: Vouch | None, echoes: dict[str, tuple[str, float]]) -> None:
+    """Stores a sender's latest stamp, which the next heartbeat sends back to it."""
     if vouch is None:
-        stamps.pop(sender, None)
+        echoes.pop(sender, None)
     else:
-        stamps[sender] = (vouch.incarnation, vouch.stamp)
+        echoes[sender] = (vouch.incarnation, vouch.stamp)
--- a/tests/model/blind_owner.py
+++ b/tests/model/blind_owner.py
@@ -1,13 +1,14 @@
-"""A blind owner as an explicit model: every order of events within bounds, by the real decisions.
+"""Model checker for an owner without the state service: explores every order of events in bounds.
 
-The owner L of a machine M with one task; C, a member like L; B, which confirms a cancellation to
-its user and is a member from the start, or joins. The state service serves some of them, or nobody;
-links hold what goes over them, and deliver it later; B may crash, and be back with nothing. Broken
-is the model when M's task still runs later than `cancel_s` after its user was told.
+Node L owns a machine M with one task. C is another member. B confirms a cancellation to its user;
+it is a member from the start or joins later. The state service answers some of the nodes or none.
+Links may hold heartbeats back and deliver them later. B may crash and restart without state. The
+rule is broken if M's task still runs more than `cancel_s` after the user was told that it is
+cancelled. The decisions are those of `pulleydeal.membership.vouching`.
 
-Times are ages in ticks, capped where nothing depends on them any more; bounded are the changes of
-the service and the links. A guard that is taken out (GUARDS) must lead to a counterexample; the
-shortest is kept as a trace.
+Times are ages in ticks, capped where a larger age makes no difference. The number of changes of
+the service and the links is bounded. Without any one of the GUARDS there must be a counterexample;
+the shortest are recorded in tests/traces/blind_owner_model.txt.
 """
 
 import sys
@@ -22,9 +23,9 @@
 from pulleydeal.store.job import Job
 
 LEASE, CANCEL = 2, 5
-LIMIT = CANCEL - LEASE - 1.0  # ticks; a tick for the margin, as reports and answers take one here
-OLD = 4  # ticks: longer ago than anything asks for
-# Whom the state service serves, and who hears whom: (sender, receiver) pairs that are cut.
+LIMIT = CANCEL - LEASE - 1.0  # ticks; one is the margin, as a report and its answer take one here
+OLD = 4  # ticks: the cap of ages, above every limit
+# Nodes that the state service answers, and (sender, receiver) pairs whose link is cut.
 SERVED = {"all": "LCB", "L is refused": "CB", "L and C are refused": "B", "down": ""}
 CUT: dict[str, frozenset[str]] = {
     "up": frozenset(),
@@ -35,84 +36,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """What L last heard of a sibling, or what is held back on its way: the age of L's stamp in it
-    (OLD: of none), the epoch, whether it vouches, and whether it names the cancellation."""
+class Heartbeat:
+    """A heartbeat to L: the last one received from a sibling, or one held back on its way."""
 
-    echo: int = OLD
+    echo: int = OLD  # age of L's stamp in it; OLD if there is none
     epoch: int = 1
-    complete: bool = True
-    names: bool = False
+    complete: bool = True  # names all cancellations newer than L's replica
+    names: bool = False  # names the cancellation
     age: int = 0  # since it arrived
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    b_member: bool  # B is a member in view 1 already
+    b_member: bool  # whether B is a member in view 1
     served: str = "all"
     links: str = "up"
     changes: int = 0
     view: int = 1
     cancelled: bool = False
-    told: int = -1
-    task: bool = True
-    renewed: int = 0
-    # L's copy, and what it heard relayed
+    told: int = -1  # ticks since the cancellation was confirmed to its user; -1 if not
+    task: bool = True  # whether M's task runs
+    renewed: int = 0  # ticks since L renewed M's lease
+    # L's replica (ticks since it was current), and whether a heartbeat named the cancellation.
     l_current: int = 0
     l_epoch: int = 1
     l_knows: bool = False
     l_relayed: bool = False
-    watch_waits: bool = False  # L's open watch waits through a refusal
-    # C's and B's copies; the stamp of L's that each last heard
+    watch_waits: bool = False  # L's watch stays open although the service now refuses L
+    # C's and B's replicas, and the age of the last stamp of L's that each received.
     c_epoch: int = 1
     c_knows: bool = False
     c_stamp: int = 0
     b_loaded: bool = True
     b_epoch: int = 1
-    b_from: int = 1  # epoch from which on this start of B is a member; 0: it is none
+    b_from: int = 1  # first epoch in which this process of B is a member; 0: none
     b_knows: bool = False
     b_stamp: int = 0
-    b_saw_l: int = 1  # the newest epochs that B was shown
+    b_saw_l: int = 1  # newest epoch that L's heartbeats reported to B; b_saw_c: C's
     b_saw_c: int = 1
-    from_c: Said = Said(0)
-    from_b: Said = Said(0)
-    held_c: Said | None = None
-    held_b: Said | None = None
+    from_c: Heartbeat = Heartbeat(0)
+    from_b: Heartbeat = Heartbeat(0)
+    held_c: Heartbeat | None = None
+    held_b: Heartbeat | None = None
 
 
 Step = tuple[str, State]
 
 
-def _older(said: Said | None) -> Said | None:
-    if said is None:
+def _aged(heartbeat: Heartbeat | None) -> Heartbeat | None:
+    if heartbeat is None:
         return None
-    return replace(said, echo=min(OLD, said.echo + 1), age=min(2, said.age + 1))
+    return replace(heartbeat, echo=min(OLD, heartbeat.echo + 1), age=min(2, heartbeat.age + 1))
 
 
-def later(s: State) -> State:
+def advance_clock(s: State) -> State:
     ages = {
-        name: min(most, getattr(s, name) + 1)
-        for name, most in (
+        name: min(cap, getattr(s, name) + 1)
+        for name, cap in (
             ("renewed", LEASE + 1),
             ("l_current", OLD),
             ("c_stamp", OLD),
             ("b_stamp", OLD),
         )
     }
-    saids = {name: _older(getattr(s, name)) for name in ("from_c", "from_b", "held_c", "held_b")}
+    heartbeats = {
+        name: _aged(getattr(s, name)) for name in ("from_c", "from_b", "held_c", "held_b")
+    }
     told = min(CANCEL + 1, s.told + 1) if s.told >= 0 else -1
-    return replace(s, told=told, **ages, **saids)  # type: ignore[arg-type]
+    return replace(s, told=told, **ages, **heartbeats)  # type: ignore[arg-type]
 
 
 def members(s: State, epoch: int) -> dict[str, str]:
-    """In view 2, B has joined."""
+    """The members in the view of an epoch; B has joined in epoch 2."""
     found = {"L": "l", "C": "c"}
     return found | {"B": "b"} if s.b_member or epoch > 1 else found
 
 
-def changes(s: State, most: int) -> Iterator[Step]:
+def changes(s: State, max_changes: int) -> Iterator[Step]:
     yield "", s
-    if s.changes >= most:
+    if s.changes >= max_changes:
         return
     for name in SERVED:
         if name != s.served:
@@ -127,7 +129,7 @@
 
 
 def service(s: State, crash: bool) -> Iterator[Step]:
-    """Whoever is served is current; B joins, cancels and tells; or it crashes."""
+    """Served nodes get a current replica; B joins, cancels the job, or crashes."""
     up = SERVED[s.served]
     if "L" in up:
         s = replace(s, l_current=0, l_epoch=s.view, l_knows=s.cancelled)
@@ -137,7 +139,7 @@
         s = replace(s, b_loaded=True, b_epoch=s.view, b_knows=s.cancelled)
     yield "", s
     if s.watch_waits:
-        # An empty answer at the end of a watch that waited: it brings nothing.
+        # The watch that was open during the refusal ends with an empty answer.
         yield "L's watch ends empty", replace(s, l_current=ends_empty(s), watch_waits=False)
     if "B" in up and not s.b_from:
         yield "B joins", replace(s, view=2, b_epoch=2, b_from=2)
@@ -154,7 +156,7 @@
     return s.l_current
 
 
-def tells(s: State) -> State:
+def confirm_cancellation(s: State) -> State:
     if s.cancelled and s.told < 0 and s.b_knows and s.b_from:
         shown = {"L": s.b_saw_l, "C": s.b_saw_c}
         known = vouching.known_as_member(s.b_from, shown, ["L", "C"])
@@ -163,14 +165,14 @@
     return s
 
 
-def said(sender: str, stamp: int, epoch: int, loaded: bool, knows: bool) -> Said:
+def heartbeat_of(sender: str, stamp: int, epoch: int, loaded: bool, knows: bool) -> Heartbeat:
     jobs = [Job("j-1", 1, r.JobRecord("cancelled", 1))] if knows else []
-    names, complete_from = vouching.named(jobs, loaded)
-    return Said(stamp, epoch, complete_from == 0, bool(names))
+    names, complete_from = vouching.announced_cancellations(jobs, loaded)
+    return Heartbeat(stamp, epoch, complete_from == 0, bool(names))
 
 
 def beats(s: State) -> State:
-    """Each hears each other within the tick, if it can; the oldest held beat comes first."""
+    """Heartbeats arrive within the tick; a cut link holds back the oldest one sent over it."""
     cut = CUT[s.links]
     if "LC" not in cut:
         s = replace(s, c_stamp=0)
@@ -178,8 +180,8 @@
         s = replace(s, b_stamp=0, b_saw_l=max(s.b_saw_l, s.l_epoch))
     if "CB" not in cut:
         s = replace(s, b_saw_c=max(s.b_saw_c, s.c_epoch))
-    c = said("C", s.c_stamp, s.c_epoch, True, s.c_knows)
-    b = said("B", s.b_stamp, s.b_epoch, s.b_loaded, s.b_knows)
+    c = heartbeat_of("C", s.c_stamp, s.c_epoch, True, s.c_knows)
+    b = heartbeat_of("B", s.b_stamp, s.b_epoch, s.b_loaded, s.b_knows)
     if "CL" in cut:
         s = replace(s, held_c=s.held_c or c)
     else:
@@ -192,7 +194,7 @@
 
 
 def late(s: State) -> Iterator[Step]:
-    """What was held comes though its sender has gone on, or has crashed: an old word."""
+    """A heartbeat that was held back arrives, maybe after its sender changed state or crashed."""
     yield "", s
     if s.held_b is not None:
         came = replace(s.held_b, age=0)
@@ -208,13 +210,13 @@
         )
 
 
-def relayed(s: State, heard: Said) -> bool:
+def relayed(s: State, heard: Heartbeat) -> bool:
     return s.l_relayed or heard.names
 
 
-def beat_of(heard: Said) -> Beat:
+def beat_of(heard: Heartbeat) -> Beat:
     echoes = {"L": ("l", float(-heard.echo))} if heard.echo < OLD else {}
-    # L's copy is of revision 5; what vouches for nothing is complete from beyond it.
+    # L's replica has revision 5; an incomplete list is complete only from a later one on.
     vouch = Vouch("x", 0.0, 0 if heard.complete else 10, echoes)
     return Beat(heard.epoch, vouch=vouch)
 
@@ -226,51 +228,52 @@
 
 
 def reports(s: State) -> Iterator[Step]:
-    """M reports to L, or does not; without an answer its lease ends the task."""
+    """M reports to L or does not; without an answer the end of its lease stops the task."""
     if s.renewed > LEASE:
         s = replace(s, task=False)
     yield "", s
     if vouching.may_renew(max(float(-s.l_current), vouched_at(s)), LIMIT, 0.0):
         if s.l_knows or s.l_relayed:
-            # The answer's kill may have no effect for a while; the lease is renewed all the same.
+            # Here the kill takes effect at once. It may in fact take a while, and the answer renews
+            # the lease all the same.
             yield "L answers M with a kill", replace(s, task=False)
         else:
             yield "L answers M", replace(s, renewed=0)
 
 
-def broken(s: State) -> str:
+def rule_broken(s: State) -> str:
     return "ran_cancelled: its user was told, and it runs" if s.task and s.told > CANCEL else ""
 
 
-def steps(s: State, most: int, crash: bool) -> Iterator[Step]:
-    for a, s1 in changes(later(s), most):
+def steps(s: State, max_changes: int, crash: bool) -> Iterator[Step]:
+    for a, s1 in changes(advance_clock(s), max_changes):
         for b, s2 in service(s1, crash):
             for d, s3 in late(beats(s2)):
-                for e, s4 in reports(tells(s3)):
+                for e, s4 in reports(confirm_cancellation(s3)):
                     yield ", ".join(x for x in (a, b, d, e) if x), s4
 
 
 FIRST = (State(True), State(False, b_from=0, b_loaded=False, b_epoch=0, b_saw_l=0, b_saw_c=0))
 
 
-def explore(most: int, crash: bool = True) -> tuple[int, list[str]]:
-    """(states seen, the shortest way to a broken one: a line a tick; empty if there is none)."""
+def explore(max_changes: int, crash: bool = True) -> tuple[int, list[str]]:
+    """Number of states seen, and the shortest path to a broken one, a line per tick, if any."""
     came: dict[State, tuple[State, str] | None] = dict.fromkeys(FIRST)
     queue = deque(FIRST)
     while queue:
         s = queue.popleft()
-        for text, after in steps(s, most, crash):
+        for text, after in steps(s, max_changes, crash):
             if after in came:
                 continue
             came[after] = (s, text)
-            if why := broken(after):
-                return len(came), [*_way(came, after), f"broken: {why}"]
+            if why := rule_broken(after):
+                return len(came), [*_path_to(came, after), f"broken: {why}"]
             if after.task:
                 queue.append(after)
     return len(came), []
 
 
-def _way(came: dict[State, tuple[State, str] | None], last: State) -> list[str]:
+def _path_to(came: dict[State, tuple[State, str] | None], last: State) -> list[str]:
     lines = []
     at: tuple[State, str] | None = came[last]
     while at is not None:
@@ -281,40 +284,40 @@
     return [start, *(f"{i:2} {line}" for i, line in enumerate(reversed(lines), 1))]
 
 
-# --- guards taken out ------------------------------------------------------------------------
+# --- removed guards --------------------------------------------------------------------------
 def _arrival(s: State) -> float:
-    """As it was: any beat of the same epoch that came just now vouches."""
+    """The former rule: any heartbeat of the same epoch counts as fresh when it arrives."""
     others = [(s.from_c, "C"), (s.from_b, "B")]
     there = members(s, s.l_epoch)
     fresh = all(h.age <= 1 and h.epoch == s.l_epoch for h, name in others if name in there)
     return 0.0 if fresh else vouching.NEVER
 
 
-HERE = sys.modules[__name__]
+THIS_MODULE = sys.modules[__name__]
 GUARDS: dict[str, tuple[object, str, Callable[..., object]]] = {
-    "a beat counts from when it arrived": (HERE, "vouched_at", _arrival),
-    "a watch that ends empty proves": (HERE, "ends_empty", lambda _: 0),
+    "a beat counts from when it arrived": (THIS_MODULE, "vouched_at", _arrival),
+    "a watch that ends empty proves": (THIS_MODULE, "ends_empty", lambda _: 0),
     "who joined tells at once": (vouching, "known_as_member", lambda *_: True),
     "blind without a bound": (vouching, "may_renew", lambda *_: True),
 }
 
 
-def explore_without(guard: str, most: int) -> list[str]:
-    place, name, instead = GUARDS[guard]
-    with mock.patch.object(place, name, instead):
-        return explore(most)[1]
+def explore_without(guard: str, max_changes: int) -> list[str]:
+    target, name, replacement = GUARDS[guard]
+    with mock.patch.object(target, name, replacement):
+        return explore(max_changes)[1]
 
 
-def follow(way: list[str]) -> str:
-    """The rule that a kept way leads to break, or nothing: it can't be gone, or breaks none."""
-    at = {s for s in FIRST if s.b_member == (way[0] == "B is a member")}
-    for line in way[1:-1]:
+def follow(path: list[str]) -> str:
+    """The rule that a recorded path breaks; empty if the path is impossible or breaks none."""
+    at = {s for s in FIRST if s.b_member == (path[0] == "B is a member")}
+    for line in path[1:-1]:
         label = line[3:].replace("nothing happens", "")
         at = {s for before in at for text, s in steps(before, OLD, True) if text == label}
-    return next(filter(None, map(broken, at)), "")
+    return next(filter(None, map(rule_broken, at)), "")
 
 
-def follow_without(guard: str, way: list[str]) -> str:
-    place, name, instead = GUARDS[guard]
-    with mock.patch.object(place, name, instead):
-        return follow(way)
+def follow_without(guard: str, path: list[str]) -> str:
+    target, name, replacement = GUARDS[guard]
+    with mock.patch.object(target, name, replacement):
+        return follow(path)
