--- a/pulleydeal/submissions/__init__.py
+++ b/pulleydeal/submissions/__init__.py
@@ -1,1 +1,1 @@
-"""The user API: submissions, their state, cancellation."""
+"""The user API: submission, state and cancellation of jobs."""
--- a/pulleydeal/submissions/messages.py
+++ b/pulleydeal/submissions/messages.py
@@ -1,4 +1,4 @@
-"""The users' wire forms (PROTOCOL: rig, crew, haul, urgency, lifts, tackle, yard, ...)."""
+"""JSON messages of the user API. PROTOCOL gives their field names (rig, crew, haul, ...)."""
 
 from typing import Annotated, Any, Literal
 
@@ -68,7 +68,7 @@
 
 
 class State(Struct, omit_defaults=True):
-    """What a user hears; `note` says why a job waits or why its tasks were last stopped."""
+    """A job's state for its user; `note` says why it waits or why its tasks were last stopped."""
 
     id: str = msgspec.field(name="name_id")
     state: str = msgspec.field(name="tension")
@@ -81,16 +81,19 @@
 
 
 def described(spec: JobSpec) -> dict[str, Any]:
-    """A job in the users' words. Workers fetch what users upload; of a job that a feature
-    submitted the platform finds it here (`GET /v1/jobs/ID/description`)."""
-    kinds = {kind: word for word, kind in KINDS.items()}
-    words = {number: word for word, number in PRIORITY.items()}
-    found = Submission(
+    """A job as its user would submit it, for `GET /v1/jobs/ID/description`.
+
+    Workers fetch the descriptions that users upload; for a job that a feature submitted, the
+    platform gets the description here.
+    """
+    haul_of = {kind: haul for haul, kind in KINDS.items()}
+    urgency_of = {priority: urgency for urgency, priority in PRIORITY.items()}
+    submission = Submission(
         spec.id,
         spec.klass,
         spec.team,
-        kinds[spec.kind],  # type: ignore[arg-type]
-        words[spec.priority],  # type: ignore[arg-type]
+        haul_of[spec.kind],  # type: ignore[arg-type]
+        urgency_of[spec.priority],  # type: ignore[arg-type]
         spec.tasks,
         spec.cpus,
         spec.gpus,
@@ -108,4 +111,4 @@
         spec.deadline_s,
         spec.waits_on or None,
     )
-    return dict(msgspec.to_builtins(found))
+    return dict(msgspec.to_builtins(submission))
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -1,4 +1,4 @@
-"""Accepts, shows and cancels jobs. Users hear only what is durable and fresh."""
+"""The user API: accepts, shows and cancels jobs. Answers state only what is durable and current."""
 
 import asyncio
 import logging
@@ -35,7 +35,7 @@
 def refusal(
     spec: r.JobSpec, teams: dict[str, Team], types: dict[str, r.MachineType], zones: list[str]
 ) -> str:
-    """Why the job can never run, or nothing."""
+    """Why the job can never run; empty if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team!r}"
@@ -66,7 +66,7 @@
         zones: list[str],
         clock: Clock,
         metrics: Metrics,
-        reason: Callable[[str], str],
+        waiting_reason: Callable[[str], str],
         keeping: Keeping,
     ) -> None:
         self._membership = membership
@@ -77,7 +77,7 @@
         self._clock = clock
         self._metrics = metrics
         self._decisions = DecisionLog(membership, store, clock, metrics)
-        self._reason = reason
+        self._waiting_reason = waiting_reason
         self._admission = Admission()
         self._keeping = keeping
 
@@ -93,14 +93,14 @@
     async def handle(self, request: Request) -> Response:
         path = request.path.partition("?")[0].strip("/").split("/")
         if len(path) == 1:
-            return await self._only("POST", request, self.submit(request.body))
+            return await self._require_method("POST", request, self.submit(request.body))
         if len(path) == 2:
-            return await self._only("GET", request, self.show(path[1]))
+            return await self._require_method("GET", request, self.show(path[1]))
         if len(path) == 3 and path[2] == "cancel":
-            return await self._only("POST", request, self.cancel(path[1]))
+            return await self._require_method("POST", request, self.cancel(path[1]))
         return answer(404, {"error": "no such path"})
 
-    async def _only(
+    async def _require_method(
         self, method: str, request: Request, work: Coroutine[None, None, Response]
     ) -> Response:
         if request.method != method:
@@ -115,27 +115,27 @@
             log.debug("%s %s: %s", request.method, request.path, error)
             response = answer(503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S)
         if response.status == 503 and self._membership.shut_out():
-            # Its next try then comes by the load balancer to a node that can answer.
+            # The load balancer then sends the client's next try to a node that can answer.
             response.headers.append(("Connection", "close"))
         if response.status >= 400:
             self._metrics.refusals.labels(str(response.status)).inc()
         return response
 
-    def _no_time(self) -> Response | None:
-        """What can't be written in time is refused at once, not after its wait."""
+    def _overload_answer(self) -> Response | None:
+        """The answer to a write that could not be made in time; None if there is time for it."""
         client = self._store.client
         wait_s, per_s = client.first_wait_s(), client.writes_per_s
-        after = self._admission.refused_for_s(self._clock.now(), wait_s, per_s)
-        if after is None:
+        retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, per_s)
+        if retry_s is None:
             return None
-        return answer(503, {"error": "more comes than can be written"}, after)
+        return answer(503, {"error": "more comes than can be written"}, retry_s)
 
     # --- submit -----------------------------------------------------------------------------
     async def submit(self, body: bytes) -> Response:
         try:
             spec = m.SUBMISSION.decode(body).spec()
         except MALFORMED as error:
-            return await self._malformed(body, str(error))
+            return await self._reject_malformed(body, str(error))
         known = self._replica.jobs.get(spec.id)
         if known is not None and known.record is not None:
             return await self.show(spec.id)
@@ -143,16 +143,16 @@
             return answer(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
         why = refusal(spec, self._teams, self._replica.types, self._zones)
         if why:
-            return await self._refused(spec.id, 422, why)
-        if spec.waits_on and (reply := await self._needed(spec)) is not None:
+            return await self._reject(spec.id, 422, why)
+        if spec.waits_on and (reply := await self._dependency_error(spec)) is not None:
             return reply
-        if (reply := self._no_time()) is not None:
+        if (reply := self._overload_answer()) is not None:
             return reply
         status = r.written("open", self._store.journals(spec))
         record = r.JobRecord(status, spec.tasks, self._clock.wall(), spec)
-        why = self._too_large(record)
+        why = self._size_error(record)
         if why:
-            return await self._refused(spec.id, 422, why)
+            return await self._reject(spec.id, 422, why)
         key = r.job_key(spec.id)
         for _ in range(c.SCRATCH_TRIES):
             conditions = {key: 0, r.VIEW: self._replica.view_version}
@@ -170,31 +170,33 @@
                     f", waits on {' '.join(spec.waits_on[:5])}" if spec.waits_on else "",
                     extra={"job": spec.id},
                 )
-                # As it stands now: it may have been called off elsewhere before this was answered.
-                return self._told(201, self._state(self._replica.jobs[spec.id]), logging.INFO)
+                # Its present state: another node may have cancelled it before this answer.
+                return self._state_answer(
+                    201, self._state(self._replica.jobs[spec.id]), logging.INFO
+                )
             if spec.id in self._replica.jobs:
                 return await self.show(spec.id)
         return answer(503, {"error": "the view keeps changing"}, c.RETRY_AFTER_S)
 
-    async def _needed(self, spec: r.JobSpec) -> Response | None:
-        """Why a job that waits on others can't be accepted now, or ever."""
+    async def _dependency_error(self, spec: r.JobSpec) -> Response | None:
+        """The answer to a job that can't be accepted because of the jobs it waits on; else None."""
         if not self._membership.all_keep(c.FORMAT_WAITS):
-            # A node of an older version would start its tasks at once if it came to lead it.
+            # A node of an older version would start its tasks at once if it became the leader.
             return answer(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
         if any(name not in jobs for name in spec.waits_on):
-            await self._store.fresh()  # another node may have accepted it a moment ago
+            await self._store.fresh()  # another node may have accepted one a moment ago
         for name in spec.waits_on:
             job = jobs.get(name)
             if job is None or job.record is None:
-                return await self._refused(spec.id, 422, f"waits on {name}, which nobody submitted")
+                return await self._reject(spec.id, 422, f"waits on {name}, which nobody submitted")
             if job.is_open and job.spec is not None and job.spec.kind == "service":
                 why = f"waits on {name}, a service, which is never done"
-                return await self._refused(spec.id, 422, why)
+                return await self._reject(spec.id, 422, why)
         return None
 
-    def _too_large(self, record: r.JobRecord) -> str:
-        """The record must fit in every state that it may come to."""
+    def _size_error(self, record: r.JobRecord) -> str:
+        """Why the record is too large for a value in its largest state; empty if it fits."""
         status = r.written("cancelled", record.is_journaled)
         longest = msgspec.structs.replace(record, status=status, ended=record.at)
         size = len(msgspec.json.encode(longest))
@@ -203,25 +205,25 @@
             return ""
         return f"its description takes {size} B, of {limit} B at most: fewer or shorter names"
 
-    async def _refused(self, job: str, status: int, why: str) -> Response:
-        """A repeat of an accepted job is 200 whatever else is true of it."""
+    async def _reject(self, job: str, status: int, why: str) -> Response:
+        """The error answer, except that a repeated submission of an accepted job is always 200."""
         await self._store.fresh()
         if job in self._replica.jobs:
             return await self.show(job)
         return answer(status, {"error": why})
 
-    async def _malformed(self, body: bytes, why: str) -> Response:
+    async def _reject_malformed(self, body: bytes, why: str) -> Response:
         try:
             parsed = msgspec.json.decode(body)
         except MALFORMED:
             return answer(400, {"error": why})
         job = parsed.get("name_id") if isinstance(parsed, dict) else None
         if isinstance(job, str) and JOB_ID.match(job):
-            return await self._refused(job, 400, why)
+            return await self._reject(job, 400, why)
         return answer(400, {"error": why})
 
-    async def _find(self, job_id: str) -> Job | None:
-        """The job as it stands: a final state is never old, any other must be proved fresh."""
+    async def _current(self, job_id: str) -> Job | None:
+        """The job in its current state; only a state that is not final needs a fresh read."""
         if not JOB_ID.match(job_id):
             return None
         if not self._is_final(self._replica.jobs.get(job_id)):
@@ -230,48 +232,50 @@
 
     # --- show -------------------------------------------------------------------------------
     async def show(self, job_id: str) -> Response:
-        job = await self._find(job_id)
+        job = await self._current(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
-        if self._held_back(job) and self._keeping.may_tell(job):
-            await self._tell(job)
-            job = self._replica.jobs.get(job_id, job)  # all may have been read anew meanwhile
-        # One of an older version would tell a cancellation at once. Else nobody does before its
-        # tasks are proved gone, which may take longer than a job may go without an answer.
-        if self._held_back(job) and not self._membership.all_keep(c.FORMAT_VOUCHES):
+        if self._unconfirmed(job) and self._keeping.may_tell(job):
+            await self._confirm_cancellation(job)
+            job = self._replica.jobs.get(job_id, job)  # the replica may have been reloaded
+        # A node of an older version would show the job as cancelled at once, so this one must not
+        # say that it runs. Otherwise every node shows the job as running or queued until the
+        # cancellation is confirmed, as that may take longer than a user may go without an answer.
+        if self._unconfirmed(job) and not self._membership.all_keep(c.FORMAT_VOUCHES):
             return answer(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
-        return self._told(200, self._state(job), logging.DEBUG)
+        return self._state_answer(200, self._state(job), logging.DEBUG)
 
-    def _told(self, status: int, state: m.State, level: int) -> Response:
-        """The answer, with a line in the decision log."""
+    def _state_answer(self, status: int, state: m.State, level: int) -> Response:
+        """The answer with a job's state, which is also written to the decision log."""
         why = f"{status} {state.state}"
         self._decisions.write(Decision(Action.ANSWER, why, state.id), level)
         return answer(status, state)
 
-    def _held_back(self, job: Job) -> bool:
-        """Cancelled, and told to nobody, as a node out of reach may still keep one of its tasks.
+    def _unconfirmed(self, job: Job) -> bool:
+        """Whether the job is cancelled but must not be shown so yet.
 
-        No more once all tasks are proved gone in a replica that is as new as the cancellation.
+        A node out of reach may still keep one of its tasks running. It may be shown once all tasks
+        are proved gone in a replica that is at least as new as the cancellation.
         """
         return job.untold and (job.bound > 0 or self._replica.revision < job.version)
 
-    async def _tell(self, job: Job) -> None:
-        """From now on it is told, by every node: durable first, as all that users hear."""
+    async def _confirm_cancellation(self, job: Job) -> None:
+        """Durably records that the cancellation may be shown; from then on every node shows it."""
 
-        def told(draft: Draft) -> None:
+        def confirm(draft: Draft) -> None:
             if self._keeping.may_tell(draft.job):
                 draft.untold = False
 
-        await asyncio.shield(self._store.change_job(job.id, told, turn=Turn.FIRST))
+        await asyncio.shield(self._store.change_job(job.id, confirm, turn=Turn.FIRST))
 
     def _is_final(self, job: Job | None) -> bool:
-        return job is not None and job.is_over and not self._held_back(job)
+        return job is not None and job.is_over and not self._unconfirmed(job)
 
     def _state(self, job: Job) -> m.State:
         assert job.record is not None
         if job.record.state == "done":
             return m.State(job.id, "done", job.record.tasks, 0)
-        if job.is_cancelled and not self._held_back(job):
+        if job.is_cancelled and not self._unconfirmed(job):
             return m.State(job.id, "cancelled", job.done, 0)
         state = "running" if job.bound else "queued"
         return m.State(job.id, state, job.done, job.bound, self._note(job))
@@ -286,30 +290,33 @@
             more = len(job.blockers) - len(named)
             waiting = f"waits for {', '.join(named)}" + (f" and {more} more" if more else "")
         elif job.done + job.bound < job.record.tasks:
-            waiting = f"waits for {self._reason(job.id) or 'credit'}"
+            waiting = f"waits for {self._waiting_reason(job.id) or 'credit'}"
         stopped = job.last_stop and f"last stop: {shown(job.last_stop)}"
         return "; ".join(part for part in (waiting, stopped) if part)
 
     # --- cancel -----------------------------------------------------------------------------
     async def cancel(self, job_id: str) -> Response:
-        job = await self._find(job_id)
+        job = await self._current(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
         if job.is_open:
-            if (reply := self._no_time()) is not None:
+            if (reply := self._overload_answer()) is not None:
                 return reply
-            await asyncio.shield(self._store.change_job(job_id, self._cancel, turn=Turn.FIRST))
-            log.info("job %s: cancel asked by its user", job_id, extra={"job": job_id})
-        if self._held_back(job) and await self._keeping.comes_to_be_told(job):
-            await self._tell(job)
+            await asyncio.shield(
+                self._store.change_job(job_id, self._mark_cancelled, turn=Turn.FIRST)
+            )
+            log.info("job %s: cancellation requested by its user", job_id, extra={"job": job_id})
+        if self._unconfirmed(job) and await self._keeping.comes_to_be_told(job):
+            await self._confirm_cancellation(job)
         if not self._is_final(job):
             return answer(503, {"error": "try again"}, c.RETRY_AFTER_S)
-        told = "cancelled" if job.is_cancelled else "done"
-        return self._told(200, m.State(job_id, told), logging.INFO)
+        state = "cancelled" if job.is_cancelled else "done"
+        return self._state_answer(200, m.State(job_id, state), logging.INFO)
 
-    def _cancel(self, draft: Draft) -> None:
+    def _mark_cancelled(self, draft: Draft) -> None:
         if draft.status == "open":
             draft.status = "cancelled"
-            # A node that blind ones don't know of as a member tells it only on proof.
+            # Nodes that lose the state service before they know this one as a member don't ask for
+            # its heartbeats: it then confirms only once the job's tasks are proved gone.
             known = self._membership.known_as_member()
             draft.untold = self._keeping.holds_back() or not known
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Overload: who can't be written in time hears it at once, and the refused come back spread."""
+"""Overload: writes that can't be made in time are refused at once, with spread retry times."""
 
 import asyncio
 from collections import Counter
@@ -9,62 +9,62 @@
 from standins.script import LoopClock, virtually
 
 
-def test_there_is_time_until_the_queue_is_as_long_as_users_wait() -> None:
+def test_writes_are_admitted_up_to_the_longest_wait() -> None:
     admission = Admission()
-    assert admission.refused_for_s(0.0, 0.0, 20.0) is None
-    assert admission.refused_for_s(0.0, c.QUEUE_MOST_S, 20.0) is None
-    assert admission.refused_for_s(0.0, c.QUEUE_MOST_S + 0.1, 20.0) == 1
+    assert admission.retry_after_s(0.0, 0.0, 20.0) is None
+    assert admission.retry_after_s(0.0, c.QUEUE_MOST_S, 20.0) is None
+    assert admission.retry_after_s(0.0, c.QUEUE_MOST_S + 0.1, 20.0) == 1
 
 
-def test_the_refused_are_told_to_come_as_fast_as_can_be_written() -> None:
+def test_retry_times_follow_the_write_rate() -> None:
     admission = Admission()
-    told = Counter(admission.refused_for_s(100.0, 1.0, 20.0) for _ in range(200))
-    assert set(told) == set(range(2, 12)) | {12} or set(told) == set(range(2, 12))
-    assert max(told.values()) <= 21  # a second's worth, and one on the edge
+    delays = Counter(admission.retry_after_s(100.0, 1.0, 20.0) for _ in range(200))
+    assert set(delays) == set(range(2, 12)) | {12} or set(delays) == set(range(2, 12))
+    assert max(delays.values()) <= 21  # the writes of one second, and one more by rounding
 
 
-def test_more_than_a_retry_after_can_hold_is_spread_over_its_later_half() -> None:
+def test_retries_beyond_the_longest_delay_are_spread_over_its_second_half() -> None:
     admission = Admission()
-    told = [admission.refused_for_s(0.0, 1.0, 10.0) or 0 for _ in range(2000)]
-    late = Counter(told[400:])
-    assert max(told) <= c.RETRY_MOST_S and min(late) >= c.RETRY_MOST_S / 2
+    delays = [admission.retry_after_s(0.0, 1.0, 10.0) or 0 for _ in range(2000)]
+    late = Counter(delays[400:])
+    assert max(delays) <= c.RETRY_MOST_S and min(late) >= c.RETRY_MOST_S / 2
     assert max(late.values()) < 1.3 * 1600 / (c.RETRY_MOST_S / 2)
 
 
-def test_a_crowd_is_let_in_at_the_write_rate_and_waits_no_longer_than_declared() -> None:
-    """160 a second against 16: before, half of the refused heard it after 4 s."""
+def test_a_burst_is_admitted_at_the_write_rate_and_waits_no_longer_than_the_limit() -> None:
+    """160 requests a second at 16 writes a second: half of the refusals once took 4 s."""
     waits: list[float] = []
-    let_in = refused = 0
+    admitted = refused = 0
 
     async def work(clock: LoopClock) -> None:
-        nonlocal let_in, refused
+        nonlocal admitted, refused
         rate = Rate(16.0, clock)
         scheduler = WriteScheduler(rate, clock)
         admission = Admission()
 
         async def write() -> None:
-            came = clock.now()
+            arrived_at = clock.now()
             await scheduler.wait(Turn.FIRST)
             rate.spend(1)
-            waits.append(clock.now() - came)
+            waits.append(clock.now() - arrived_at)
 
         writes = []
         for _ in range(1600):
-            if admission.refused_for_s(clock.now(), scheduler.first_wait_s(), 16.0) is None:
+            if admission.retry_after_s(clock.now(), scheduler.first_wait_s(), 16.0) is None:
                 writes.append(asyncio.ensure_future(write()))
-                let_in += 1
+                admitted += 1
             else:
                 refused += 1
             await asyncio.sleep(1 / 160)
         await asyncio.gather(*writes)
 
     virtually(work)
-    assert let_in + refused == 1600
-    assert let_in >= 0.9 * 16 * 10
+    assert admitted + refused == 1600
+    assert admitted >= 0.9 * 16 * 10
     assert max(waits) < c.QUEUE_MOST_S + 0.2
 
 
-def test_work_has_every_second_turn_when_users_never_end() -> None:
+def test_work_gets_every_second_turn_while_users_never_stop() -> None:
     order: list[Turn] = []
 
     async def work(clock: LoopClock) -> None:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""What users are answered, over real HTTP messages, and the command line's exits."""
+"""The user API over HTTP, and the exit codes of the command line."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 from pulleydeal.submissions.service import refusal
 from pulleydeal.workers.messages import REPORT
 
-GOOD = {
+VALID = {
     "name_id": "j-000412",
     "rig": "train",
     "crew": "core",
@@ -47,11 +47,11 @@
 
 
 def parse(**changes: object) -> r.JobSpec:
-    body = {k: v for k, v in (GOOD | changes).items() if v != "missing"}
+    body = {k: v for k, v in (VALID | changes).items() if v != "missing"}
     return m.SUBMISSION.decode(json.dumps(body).encode()).spec()
 
 
-def test_a_good_submission_is_understood() -> None:
+def test_a_valid_submission_is_parsed() -> None:
     spec = parse()
     assert (spec.kind, spec.priority, spec.gpus, spec.zone) == ("gang", 2, 1.0, None)
 
@@ -96,7 +96,7 @@
         ({"accelerators": 2, "lifts": 3, "haul": "standing"}, "limit"),
     ],
 )
-def test_what_can_never_run_is_refused(changes: dict[str, object], why: str) -> None:
+def test_a_job_that_can_never_run_is_refused(changes: dict[str, object], why: str) -> None:
     found = refusal(parse(**changes), {"core": Team("core", gpus_max=4.0)}, TYPES, ["east"])
     assert why in found and bool(found) == bool(why)
 
@@ -116,7 +116,7 @@
     return reply
 
 
-def test_bodies_over_the_limit_and_broken_messages_are_answered_and_closed() -> None:
+def test_too_long_bodies_and_malformed_messages_are_answered_and_closed() -> None:
     size = c.MAX_BODY_B + 1
     head = f"POST /submissions HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n".encode()
     assert asyncio.run(exchange(head + b"x" * size)).startswith(b"HTTP/1.1 413")
@@ -131,8 +131,8 @@
 @pytest.mark.parametrize(
     "nested", [b"[" * 20_000, b'{"a":' * 10_000, b'{"spread":' + b"[" * 20_000]
 )
-def test_a_deeply_nested_body_is_malformed_and_nothing_worse(nested: bytes) -> None:
-    """It ended in a traceback and 503, which users repeat for a minute."""
+def test_a_deeply_nested_body_counts_as_malformed(nested: bytes) -> None:
+    """It once ended in a traceback and 503, which users retry for a minute."""
     for decoder in (m.SUBMISSION, REPORT, CATALOG, LISTING, PAGE, CHANGES, REVISION):
         with pytest.raises(MALFORMED):
             decoder.decode(nested)
@@ -142,7 +142,7 @@
         understood_cloud(LISTING, nested)
 
 
-def test_a_handler_that_fails_is_answered_503_with_when_to_come_back() -> None:
+def test_a_failing_handler_is_answered_503_with_retry_after() -> None:
     async def fails(request: Request) -> Response:
         raise RuntimeError("for a test")
 
@@ -151,12 +151,12 @@
     assert reply.startswith(b"HTTP/1.1 503") and b"Retry-After: 1" in reply
 
 
-def test_a_kept_connection_serves_one_request_after_the_other() -> None:
+def test_a_connection_serves_several_requests() -> None:
     async def run() -> list[int]:
-        async def seen(request: Request) -> Response:
+        async def path_of(request: Request) -> Response:
             return answer(200, {"path": request.path})
 
-        server = Server(seen, 4)
+        server = Server(path_of, 4)
         listening = await asyncio.start_server(server._connection, "127.0.0.1", 0)
         port = listening.sockets[0].getsockname()[1]
         client = Client(f"127.0.0.1:{port}", SystemClock())
@@ -169,33 +169,33 @@
 
 
 def crowd(limit: int, users: int) -> tuple[list[tuple[int, bytes]], list[int]]:
-    """Users whose requests hang, then one report and one health check."""
+    """Opens user requests that hang; returns the refusals and the statuses of /checkin and /up."""
 
     async def run() -> tuple[list[tuple[int, bytes]], list[int]]:
-        go_on = asyncio.Event()
+        release = asyncio.Event()
 
         async def handler(request: Request) -> Response:
             if request.path.startswith("/submissions"):
-                await go_on.wait()
+                await release.wait()
             return answer(200, {})
 
         server = Server(handler, limit, crowd="/submissions")
         listening = await asyncio.start_server(server._connection, "127.0.0.1", 0)
         address = f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"
         clients = [Client(address, SystemClock()) for _ in range(users + 1)]
-        asked = [
+        requests = [
             asyncio.ensure_future(x.request("GET", "/submissions/j-1", None, 60.0))
             for x in clients[:users]
         ]
-        while sum(task.done() for task in asked) + server._crowd_busy < users:
+        while sum(task.done() for task in requests) + server._crowd_busy < users:
             await asyncio.sleep(0.001)
-        refused = [task.result() for task in asked if task.done()]
+        refused = [task.result() for task in requests if task.done()]
         others = [
             (await clients[users].request("POST", "/checkin"))[0],
             (await clients[users].request("GET", "/up"))[0],
         ]
-        go_on.set()
-        served = [(await task)[0] for task in asked]
+        release.set()
+        served = [(await task)[0] for task in requests]
         assert served.count(200) == users - len(refused)
         for client in clients:
             client.close()
@@ -205,7 +205,7 @@
     return asyncio.run(run())
 
 
-def test_users_in_crowds_are_refused_at_once_and_workers_keep_their_share() -> None:
+def test_user_requests_over_the_limits_are_refused_and_workers_keep_their_share() -> None:
     limit = 20
     refused, others = crowd(limit, limit - 2)
     assert [status for status, _ in refused] == [503] * (limit - 2 - int(limit * c.CROWD_SHARE))
--- a/tests/test_untold.py
+++ b/tests/test_untold.py
@@ -1,4 +1,4 @@
-"""A cancellation that is durable and not told yet: what its user hears, and what is written."""
+"""A cancellation that is durable but not yet confirmed to its user: answers and records."""
 
 import asyncio
 import json
@@ -24,8 +24,8 @@
 SPEC = r.JobSpec("j-1", "c", "core", "array", 1, 2, 1.0, 0.0, 1.0, "img", 1.0)
 
 
-class Inside(Keeping):
-    """A node inside that has heard of the cancellation (`acked`), or not."""
+class CutOffKeeping(Keeping):
+    """A cut-off node has acknowledged the cancellation (`acked`) or not."""
 
     def __init__(self) -> None:
         self.acked = False
@@ -41,23 +41,23 @@
 
 
 class Node:
-    """Membership, store and clock in one. The watch brings a write when `watch` is called."""
+    """Stands in for membership, store and clock. Writes show in the replica after `watch`."""
 
     is_member = True
     epoch = 1
-    known = True
-    an_older_serves = False
+    known_to_all = True
+    older_version_serves = False
 
     def all_keep(self, format_: int) -> bool:
-        return not self.an_older_serves
+        return not self.older_version_serves
 
     def known_as_member(self) -> bool:
-        return self.known
+        return self.known_to_all
 
     def __init__(self, keeping: Keeping) -> None:
         self.replica = Replica()
         self.revision = 0
-        self.unseen: list[m.Event] = []
+        self.unseen_events: list[m.Event] = []
         self.writes: list[dict[str, Any]] = []
         me: Any = self
         self.client = me
@@ -72,15 +72,15 @@
         self.replica.loaded = True
 
     def put(self, puts: dict[str, Any], drops: tuple[str, ...] = ()) -> None:
-        """Somebody's write; seen with the next watch."""
+        """A write by any node; it shows with the next `watch`."""
         self.revision += 1
         for key, value in puts.items():
             raw = msgspec.Raw(msgspec.json.encode(value))
-            self.unseen.append(m.Event(self.revision, key, None, raw))
-        self.unseen += [m.Event(self.revision, None, key) for key in drops]
+            self.unseen_events.append(m.Event(self.revision, key, None, raw))
+        self.unseen_events += [m.Event(self.revision, None, key) for key in drops]
 
     def watch(self) -> None:
-        events, self.unseen = self.unseen, []
+        events, self.unseen_events = self.unseen_events, []
         self.replica.apply(m.Changes(self.revision, events))
 
     def bind(self) -> None:
@@ -126,42 +126,42 @@
         return found.status, json.loads(found.body).get("tension", "")
 
 
-def test_until_it_can_be_kept_a_cancel_is_to_be_repeated_and_the_job_runs() -> None:
-    inside = Inside()
-    node = Node(inside)
+def test_until_it_can_be_confirmed_a_cancel_is_503_and_the_job_is_running() -> None:
+    keeping = CutOffKeeping()
+    node = Node(keeping)
     node.bind()
     node.watch()
     assert node.cancel() == 503
     assert node.show() == (200, "running")
     assert [p[r.job_key("j-1")].untold for p in node.writes] == [True]
-    inside.acked = True
+    keeping.acked = True
     assert node.cancel() == 200
     assert node.show() == (200, "cancelled")
     assert [p[r.job_key("j-1")].untold for p in node.writes] == [True, False]
 
 
-def test_a_poll_tells_it_too_as_soon_as_it_can_be_kept() -> None:
-    inside = Inside()
-    node = Node(inside)
+def test_a_poll_also_confirms_it_as_soon_as_it_can() -> None:
+    keeping = CutOffKeeping()
+    node = Node(keeping)
     node.bind()
     node.watch()
     assert node.cancel() == 503
-    inside.acked = True
+    keeping.acked = True
     assert node.show() == (200, "cancelled")
-    assert node.writes[-1][r.job_key("j-1")].untold is False  # durable before it was told
+    assert node.writes[-1][r.job_key("j-1")].untold is False  # durable before the answer
 
 
-def test_where_a_node_would_tell_it_at_once_nobody_says_that_it_runs() -> None:
-    node = Node(Inside())
-    node.an_older_serves = True
+def test_with_an_older_version_serving_no_node_says_that_the_job_runs() -> None:
+    node = Node(CutOffKeeping())
+    node.older_version_serves = True
     node.bind()
     node.watch()
     assert node.cancel() == 503
     assert node.show()[0] == 503
 
 
-def test_it_is_told_once_all_its_tasks_are_proved_gone() -> None:
-    node = Node(Inside())
+def test_it_is_confirmed_once_all_tasks_are_proved_gone() -> None:
+    node = Node(CutOffKeeping())
     node.bind()
     node.watch()
     assert node.cancel() == 503
@@ -169,18 +169,18 @@
     assert node.show() == (200, "cancelled")
 
 
-def test_a_binding_written_a_moment_before_counts_though_nobody_had_seen_it() -> None:
-    """Neither changes a key that the other one writes, so the cancellation does not fail."""
-    node = Node(Inside())
+def test_a_binding_written_just_before_counts_though_the_replica_lacks_it() -> None:
+    """The two writes share no key, so neither makes the other fail."""
+    node = Node(CutOffKeeping())
     node.bind()  # the watch has not brought it yet
     node.replica.revision = node.revision - 1
     assert node.cancel() == 503
-    assert node.writes[0][r.job_key("j-1")].spec is not None  # its tasks can still be found
+    assert node.writes[0][r.job_key("j-1")].spec is not None  # so its tasks can still be found
     assert node.show() == (200, "running")
 
 
-@pytest.mark.parametrize("keeping", [Keeping(), Inside()])
-def test_a_slim_record_is_written_by_who_has_seen_all_up_to_the_cancellation(
+@pytest.mark.parametrize("keeping", [Keeping(), CutOffKeeping()])
+def test_a_slim_record_is_written_only_with_a_replica_as_new_as_the_cancellation(
     keeping: Keeping,
 ) -> None:
     node = Node(keeping)
@@ -191,10 +191,10 @@
         await node.change_job("j-1", lambda _: None, Turn.LATER)
 
     asyncio.run(sweep())
-    assert len(node.writes) == 1  # it has not reached the cancellation: nothing is thrown away
+    assert len(node.writes) == 1  # its replica is older than the cancellation: nothing is dropped
     node.watch()
     asyncio.run(sweep())
-    assert len(node.writes) == 1  # and now it sees the task
+    assert len(node.writes) == 1  # now it sees the bound task
     node.put({r.chunk_key("j-1", 0): [r.Task("", 1, why="g"), r.Task()]})
     node.watch()
     asyncio.run(sweep())
@@ -202,29 +202,30 @@
     assert node.replica.bound == {}
 
 
-def test_records_of_both_versions_read_each_others() -> None:
+def test_both_versions_read_each_others_records() -> None:
     new = r.JobRecord("cancelled", 2, 1.0, SPEC, 5.0, True)
     raw = json.loads(msgspec.json.encode(new))
     assert raw.pop("untold") is True
-    assert r.JOB.decode(json.dumps(raw).encode()).untold is False  # told, as by an older version
+    # A record without the field was confirmed, as an older version does at once.
+    assert r.JOB.decode(json.dumps(raw).encode()).untold is False
     assert "untold" not in json.loads(msgspec.json.encode(r.JobRecord("done", 2)))
     view = json.loads(msgspec.json.encode(r.View(3, {"a": "1"}, [], [("a", "east")])))
     view.pop("deaf")
     assert r.VIEW_DECODER.decode(json.dumps(view).encode()).deaf == []
 
 
-def test_who_joined_unseen_tells_a_cancellation_only_on_proof() -> None:
-    """Two blind nodes that don't know it as a member vouch for each other without its word."""
+def test_a_member_not_known_to_all_confirms_only_once_tasks_are_proved_gone() -> None:
+    """Two blind nodes with an older view don't ask for the heartbeats of a new member."""
     node = Node(Keeping())
-    node.known = False
+    node.known_to_all = False
     node.bind()
     node.watch()
     assert node.cancel() == 503
     assert [p[r.job_key("j-1")].untold for p in node.writes] == [True]
     assert node.cancel() == 503
-    # Told nothing for as long as that may take, its user would take it for forgotten.
+    # The proof may take long; without an answer until then the job would count as forgotten.
     assert node.show() == (200, "running")
-    node.an_older_serves = True  # that one would tell it at once
+    node.older_version_serves = True  # an older version would show it as cancelled at once
     assert node.show()[0] == 503
     node.put({r.chunk_key("j-1", 0): [r.Task("", 1, why="g"), r.Task()]})
     node.watch()
@@ -232,7 +233,7 @@
 
 
 class Slow(Node):
-    """The state service's answer takes so long that `meanwhile` happens before it comes."""
+    """The state service answers slowly: `meanwhile` happens before the answer."""
 
     meanwhile: Callable[["Slow"], None]
     limits = Limits(2_000, 8)
@@ -277,16 +278,16 @@
     return msgspec.json.encode(body)
 
 
-def test_an_acceptance_whose_answer_was_slow_tells_what_became_of_the_job_meanwhile() -> None:
-    """Its user had repeated it elsewhere, and called it off there."""
+def test_a_slow_acceptance_answers_with_the_present_state_of_the_job() -> None:
+    """Its user had repeated the submission at another node and cancelled the job there."""
 
-    def called_off(node: Slow) -> None:
+    def cancel_elsewhere(node: Slow) -> None:
         slim = r.JobRecord("cancelled", 1, 1.0, None, 2.0)
         node.put({r.job_key("j-2"): slim})
         node.watch()
 
     node = Slow(Keeping())
-    node.meanwhile = called_off
+    node.meanwhile = cancel_elsewhere
 
     async def submit() -> Response:
         return await node.users.submit(submission("j-2"))
@@ -295,17 +296,17 @@
     assert (reply.status, json.loads(reply.body)["tension"]) == (201, "cancelled")
 
 
-def test_what_is_told_after_a_write_is_of_the_copy_as_it_is_then() -> None:
-    """All was read anew while the write was under way: what was found before is kept no more."""
-    inside = Inside()
-    node = Slow(inside)
+def test_the_answer_after_a_write_comes_from_the_present_replica() -> None:
+    """The replica is reloaded during the write, so a job looked up before is stale."""
+    keeping = CutOffKeeping()
+    node = Slow(keeping)
     node.meanwhile = lambda _: None
     node.bind()
     node.watch()
     assert node.cancel() == 503
-    inside.acked = True
+    keeping.acked = True
 
-    def read_anew(node: Slow) -> None:
+    def reload(node: Slow) -> None:
         records = {
             r.job_key("j-1"): r.JobRecord("cancelled", 2, 1.0, SPEC, 5.0),
             r.chunk_key("j-1", 0): [r.Task("vm-1", 1), r.Task()],
@@ -319,5 +320,5 @@
         )
         node.replica.end_load(node.revision)
 
-    node.meanwhile = read_anew
+    node.meanwhile = reload
     assert node.show() == (200, "cancelled")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,7 +1,7 @@
-"""Old and new versions on one set of data: what production wrote is read, and it reads ours.
+"""Compatibility of data between the version in production and this one, in both directions.
 
-`traces/production.txt` says where each of its lines comes from; `production.py` is a frozen copy of
-production's definitions.
+`traces/production.txt` holds recorded values and messages with their origin; `production.py` is a
+frozen copy of production's definitions.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 class Stored:
-    """The trace in a replica, and changes written to it as the state service would."""
+    """A replica loaded from the trace; changes are applied to it as the state service would."""
 
     def __init__(self) -> None:
         self.replica = Replica()
@@ -58,7 +58,7 @@
     return lambda draft: apply_exit(draft, gone)
 
 
-def test_what_production_wrote_is_read_in_full() -> None:
+def test_all_records_of_production_are_read() -> None:
     replica = Stored().replica
     assert {j for j, job in replica.jobs.items() if job.is_ready} == {
         "j-1", "j-2", "j-3", "j-4", "j-6", "j-7", "j-10", "j-11"
@@ -88,7 +88,7 @@
     assert pack(unpack(MESSAGES[name])) == MESSAGES[name]  # type: ignore[operator]
 
 
-def test_a_siblings_greeting_is_read() -> None:
+def test_a_siblings_hello_is_read() -> None:
     assert Unpacker(MESSAGES["HELLO"]).text() == "winch-1"
 
 
@@ -111,12 +111,13 @@
     for key, value in stored.written.items():
         production.reads(key, value)
     waits = production.reads("p/j/j-20", stored.written["p/j/j-20"])
-    # It would drop what it does not know, which is why none is accepted before all are new.
+    # Production drops fields that it does not know, so such jobs are only accepted once no node
+    # runs an older version.
     assert b"waits_on" not in msgspec.json.encode(waits)
     assert production.reads("p/t/0001", stored.written["p/t/0001"]) is None
 
 
-def test_full_chunks_with_reasons_shrink_with_their_next_write() -> None:
+def test_oversized_chunks_with_reasons_shrink_with_their_next_write() -> None:
     key = "p/c/j-10/0000"
     assert len(RECORDS[key]) > 3_500
     stored = Stored()
@@ -130,7 +131,7 @@
     assert sum(bool(t.machine) for t in tasks) == 31
 
 
-def test_a_full_chunk_fits_whatever_is_in_it() -> None:
+def test_a_full_chunk_of_the_longest_tasks_fits() -> None:
     machine, reason = "x" * c.MACHINE_CHARS, max(CODES, key=len)
     full = r.Task(machine, c.MAX_ATTEMPT, False, c.MAX_FAILS, reason, reason)
     size = len(msgspec.json.encode([full] * c.CHUNK_TASKS))
@@ -141,18 +142,18 @@
         assert short(short(text)) == short(text) and short(text) in CODES | {""}
 
 
-def test_reasons_read_the_same_after_they_were_shortened() -> None:
+def test_shortened_reasons_expand_to_the_same_text() -> None:
     assert all(short(shown(code)) == code for code in CODES)
     assert shown(short("made room for j-0123456 (high priority)")).endswith("of high priority")
     assert shown("a sentence of production's") == "a sentence of production's"
 
 
-def test_a_description_from_larger_times_ends_and_moves_its_mark() -> None:
+def test_a_job_whose_description_exceeds_the_limit_can_still_end() -> None:
     stored = Stored()
     assert len(RECORDS["p/j/j-11"]) > SMALL.value_b
     draft = Draft(stored.replica.jobs["j-11"], stored.replica, SMALL, 0.0)
     draft.touch()
-    assert list(draft.puts) == [r.VIEW]  # its mark is a condition of every commit
+    assert list(draft.puts) == [r.VIEW]  # the record does not fit; every commit depends on the view
 
     def cancel(draft: Draft) -> None:
         draft.status = "cancelled"
@@ -166,7 +167,7 @@
     assert job.record == r.JobRecord("cancelled", 2, 1700000006.0, None, 1.7e9 + 80)
 
 
-def test_a_change_that_never_fits_is_never_sent() -> None:
+def test_a_change_over_the_limits_is_refused_before_it_is_sent() -> None:
     limits = Limits(100, 4)
     limits.check({"p/view": 1}, {"p/a": b"x" * 100}, ["p/b", "p/c", "p/d"])
     with pytest.raises(TooLarge, match="p/a takes 101 B"):
@@ -177,14 +178,14 @@
         limits.check({f"p/{i}": 1 for i in range(17)}, {}, ["p/a"])
 
 
-def test_the_tighter_of_present_and_announced_limits_holds() -> None:
+def test_the_smaller_of_present_and_announced_limits_applies() -> None:
     assert (SMALL.value_b, SMALL.ops) == (2 * 1024 - c.VALUE_SPARE_B, 8)
     assert tightest(StateLimits(1.0, 1.0, 8.0, 24)) == Limits(8 * 1024 - c.VALUE_SPARE_B, 24)
     larger = StateLimits(1.0, 1.0, 8.0, 24, NextLimits(None, 16.0, None))
     assert tightest(larger) == tightest(StateLimits(1.0, 1.0, 8.0, 24))
 
 
-def test_many_machine_types_take_several_values() -> None:
+def test_a_catalogue_of_many_machine_types_takes_several_values() -> None:
     names = [f"{'t' * 80}-{i}" for i in range(30)]
     types = [r.MachineType(n, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, ["east"]) for n in names]
     huge = r.MachineType("h" * 3000, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, ["east"])
