--- a/pulleydeal/constants.py
+++ b/pulleydeal/constants.py
@@ -64,7 +64,8 @@
 FORMAT = 3  # record format that this version can read and keep; announced durably
 FORMAT_WAITS = 1  # since this format: jobs that wait on others
 FORMAT_FEATURES = 2  # since this format: a node announces its enabled features
-# Since this format a node confirms no cancellation that a blind node could not know of.
+# Since this format nodes confirm no cancellation that a node without the state service could not
+# know of.
 FORMAT_VOUCHES = 3
 EPOCH_SHIFT = 24  # bits of a token below the epoch: the per-machine fence counter
 DIAL_TIMEOUT_S = 1.0  # for connecting to a sibling: hosts are a few ms apart
@@ -74,11 +75,11 @@
 # --- Workers ------------------------------------------------------------------------------
 CLOCK_DRIFT = 0.001  # twice PROTOCOL's 0.05%: two clocks may drift in opposite directions
 LEASE_MARGIN_S = 1.0  # added to a lease before its tasks count as gone
-RENEW_MARGIN_S = 3.0  # how much earlier than strictly needed a blind node stops renewing leases
+RENEW_MARGIN_S = 3.0  # a node without the state service stops renewing leases this much early
 ORDERS_TIMEOUT_S = 3.0  # an order unanswered for this long has an unknown outcome: it is fenced
 ORDERS_IN_FLIGHT = 16  # direct orders at once: bounds sockets and memory
 ORDER_QUEUE_MOST_S = 1.0  # an order that waits longer is planned anew: check-ins every 3 s carry it
-PROBES_IN_FLIGHT = 32  # the same for orders without calls: many of them hang on dead machines
+PROBES_IN_FLIGHT = 32  # orders without calls at once: many of them hang on dead machines
 PROBE_TIMEOUT_S = 1.5  # for those: a live machine answers within milliseconds
 SILENT_REPORTS = 2.5  # report periods of silence after which a machine gives no credit
 SILENT_RETURN_REPORTS = 2.7  # report periods of silence, also to probes, before it is given back
--- a/pulleydeal/membership/service.py
+++ b/pulleydeal/membership/service.py
@@ -127,7 +127,7 @@
         return self._settings.zone_of(node)
 
     def parts(self) -> dict[str, list[Total]]:
-        """The published credit totals by owner: this node and the members heard in CUT_AFTER_S."""
+        """Published credit totals by owner: members heard within CUT_AFTER_S, and this one."""
         now = self._clock.now()
         known = {
             name: beat.totals
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -101,16 +101,16 @@
         return answer(404, {"error": "no such path"})
 
     async def _require_method(
-        self, method: str, request: Request, work: Coroutine[None, None, Response]
+        self, method: str, request: Request, coroutine: Coroutine[None, None, Response]
     ) -> Response:
         if request.method != method:
-            work.close()
+            coroutine.close()
             reply = answer(405, {"error": f"only {method}"})
             reply.headers.append(("Allow", method))
             return reply
         try:
             async with asyncio.timeout(c.COMMIT_WAIT_S):
-                response = await work
+                response = await coroutine
         except (Unavailable, Unknown, TimeoutError) as error:
             log.debug("%s %s: %s", request.method, request.path, error)
             response = answer(503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S)
@@ -141,18 +141,18 @@
             return await self.show(spec.id)
         if not self.ready:
             return answer(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
-        why = refusal(spec, self._teams, self._replica.types, self._zones)
-        if why:
-            return await self._reject(spec.id, 422, why)
+        reason = refusal(spec, self._teams, self._replica.types, self._zones)
+        if reason:
+            return await self._reject(spec.id, 422, reason)
         if spec.waits_on and (reply := await self._dependency_error(spec)) is not None:
             return reply
         if (reply := self._overload_answer()) is not None:
             return reply
         status = r.written("open", self._store.journals(spec))
         record = r.JobRecord(status, spec.tasks, self._clock.wall(), spec)
-        why = self._size_error(record)
-        if why:
-            return await self._reject(spec.id, 422, why)
+        reason = self._size_error(record)
+        if reason:
+            return await self._reject(spec.id, 422, reason)
         key = r.job_key(spec.id)
         for _ in range(c.SCRATCH_TRIES):
             conditions = {key: 0, r.VIEW: self._replica.view_version}
@@ -191,8 +191,8 @@
             if job is None or job.record is None:
                 return await self._reject(spec.id, 422, f"waits on {name}, which nobody submitted")
             if job.is_open and job.spec is not None and job.spec.kind == "service":
-                why = f"waits on {name}, a service, which is never done"
-                return await self._reject(spec.id, 422, why)
+                reason = f"waits on {name}, a service, which is never done"
+                return await self._reject(spec.id, 422, reason)
         return None
 
     def _size_error(self, record: r.JobRecord) -> str:
@@ -205,24 +205,24 @@
             return ""
         return f"its description takes {size} B, of {limit} B at most: fewer or shorter names"
 
-    async def _reject(self, job: str, status: int, why: str) -> Response:
+    async def _reject(self, job: str, status: int, reason: str) -> Response:
         """The error answer, except that a repeated submission of an accepted job is always 200."""
         await self._store.fresh()
         if job in self._replica.jobs:
             return await self.show(job)
-        return answer(status, {"error": why})
+        return answer(status, {"error": reason})
 
-    async def _reject_malformed(self, body: bytes, why: str) -> Response:
+    async def _reject_malformed(self, body: bytes, reason: str) -> Response:
         try:
             parsed = msgspec.json.decode(body)
         except MALFORMED:
-            return answer(400, {"error": why})
+            return answer(400, {"error": reason})
         job = parsed.get("name_id") if isinstance(parsed, dict) else None
         if isinstance(job, str) and JOB_ID.match(job):
-            return await self._reject(job, 400, why)
-        return answer(400, {"error": why})
+            return await self._reject(job, 400, reason)
+        return answer(400, {"error": reason})
 
-    async def _current(self, job_id: str) -> Job | None:
+    async def _current_job(self, job_id: str) -> Job | None:
         """The job in its current state; only a state that is not final needs a fresh read."""
         if not JOB_ID.match(job_id):
             return None
@@ -232,7 +232,7 @@
 
     # --- show -------------------------------------------------------------------------------
     async def show(self, job_id: str) -> Response:
-        job = await self._current(job_id)
+        job = await self._current_job(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
         if self._unconfirmed(job) and self._keeping.may_tell(job):
@@ -247,8 +247,8 @@
 
     def _state_answer(self, status: int, state: m.State, level: int) -> Response:
         """The answer with a job's state, which is also written to the decision log."""
-        why = f"{status} {state.state}"
-        self._decisions.write(Decision(Action.ANSWER, why, state.id), level)
+        reason = f"{status} {state.state}"
+        self._decisions.write(Decision(Action.ANSWER, reason, state.id), level)
         return answer(status, state)
 
     def _unconfirmed(self, job: Job) -> bool:
@@ -278,9 +278,9 @@
         if job.is_cancelled and not self._unconfirmed(job):
             return m.State(job.id, "cancelled", job.done, 0)
         state = "running" if job.bound else "queued"
-        return m.State(job.id, state, job.done, job.bound, self._note(job))
+        return m.State(job.id, state, job.done, job.bound, self._state_note(job))
 
-    def _note(self, job: Job) -> str:
+    def _state_note(self, job: Job) -> str:
         assert job.record is not None
         waiting = ""
         if job.is_cancelled:
@@ -296,7 +296,7 @@
 
     # --- cancel -----------------------------------------------------------------------------
     async def cancel(self, job_id: str) -> Response:
-        job = await self._current(job_id)
+        job = await self._current_job(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
         if job.is_open:
--- a/tests/model/blind_owner.py
+++ b/tests/model/blind_owner.py
@@ -171,7 +171,7 @@
     return Heartbeat(stamp, epoch, complete_from == 0, bool(names))
 
 
-def beats(s: State) -> State:
+def exchange_heartbeats(s: State) -> State:
     """Heartbeats arrive within the tick; a cut link holds back the oldest one sent over it."""
     cut = CUT[s.links]
     if "LC" not in cut:
@@ -193,20 +193,20 @@
     return s
 
 
-def late(s: State) -> Iterator[Step]:
+def deliver_held(s: State) -> Iterator[Step]:
     """A heartbeat that was held back arrives, maybe after its sender changed state or crashed."""
     yield "", s
     if s.held_b is not None:
-        came = replace(s.held_b, age=0)
+        arrived = replace(s.held_b, age=0)
         yield (
             "a held beat of B's comes",
-            replace(s, from_b=came, l_relayed=relayed(s, came), held_b=None),
+            replace(s, from_b=arrived, l_relayed=relayed(s, arrived), held_b=None),
         )
     if s.held_c is not None:
-        came = replace(s.held_c, age=0)
+        arrived = replace(s.held_c, age=0)
         yield (
             "a held beat of C's comes",
-            replace(s, from_c=came, l_relayed=relayed(s, came), held_c=None),
+            replace(s, from_c=arrived, l_relayed=relayed(s, arrived), held_c=None),
         )
 
 
@@ -248,7 +248,7 @@
 def steps(s: State, max_changes: int, crash: bool) -> Iterator[Step]:
     for a, s1 in changes(advance_clock(s), max_changes):
         for b, s2 in service(s1, crash):
-            for d, s3 in late(beats(s2)):
+            for d, s3 in deliver_held(exchange_heartbeats(s2)):
                 for e, s4 in reports(confirm_cancellation(s3)):
                     yield ", ".join(x for x in (a, b, d, e) if x), s4
 
@@ -258,28 +258,28 @@
 
 def explore(max_changes: int, crash: bool = True) -> tuple[int, list[str]]:
     """Number of states seen, and the shortest path to a broken one, a line per tick, if any."""
-    came: dict[State, tuple[State, str] | None] = dict.fromkeys(FIRST)
+    predecessors: dict[State, tuple[State, str] | None] = dict.fromkeys(FIRST)
     queue = deque(FIRST)
     while queue:
         s = queue.popleft()
         for text, after in steps(s, max_changes, crash):
-            if after in came:
+            if after in predecessors:
                 continue
-            came[after] = (s, text)
+            predecessors[after] = (s, text)
             if why := rule_broken(after):
-                return len(came), [*_path_to(came, after), f"broken: {why}"]
+                return len(predecessors), [*_path_to(predecessors, after), f"broken: {why}"]
             if after.task:
                 queue.append(after)
-    return len(came), []
+    return len(predecessors), []
 
 
-def _path_to(came: dict[State, tuple[State, str] | None], last: State) -> list[str]:
+def _path_to(predecessors: dict[State, tuple[State, str] | None], last: State) -> list[str]:
     lines = []
-    at: tuple[State, str] | None = came[last]
+    at: tuple[State, str] | None = predecessors[last]
     while at is not None:
         before, text = at
         lines.append(text or "nothing happens")
-        at = came[before]
+        at = predecessors[before]
     start = "B is a member" if before.b_member else "B is no member"
     return [start, *(f"{i:2} {line}" for i, line in enumerate(reversed(lines), 1))]
 
