--- a/pulleydeal/zones/__init__.py
+++ b/pulleydeal/zones/__init__.py
@@ -1,1 +1,1 @@
-"""A zone that is cut off keeps its work: leases kept from inside, cancellations told when kept."""
+"""Handling of zones that lose contact: proxy lease renewal, cancellations and machine returns."""
--- a/pulleydeal/zones/constants.py
+++ b/pulleydeal/zones/constants.py
@@ -1,24 +1,24 @@
-"""This feature's constants, each with its unit and the reason for its value."""
+"""Constants of zone loss handling. Suffix _S: seconds."""
 
-FORMAT = 2  # of what nodes tell one another and write; shown durably. 1: kept for 90 s at most
-KEEP_AFTER_S = 3.5  # out of reach so long before it begins: workers come after 5 s of silence
-CONTACT_S = 2.5  # a sibling's answer not older than this is contact; below KEEP_AFTER_S
-STANDING_S = 0.5  # how often nodes tell each other how they stand, as heartbeats
-TELL_WAIT_S = 0.5  # who cancels waits so long for the other nodes; an answer takes milliseconds
-TELL_LOOK_S = 0.01  # how often it looks meanwhile; the answer is there within a few
+FORMAT = 2  # version of the status messages and records; durable. 1 renewed for 90 s at most
+PROXY_RENEWAL_AFTER_S = 3.5  # isolation before a node renews for others; workers come after 5 s
+CONTACT_TIMEOUT_S = 2.5  # a peer's last acknowledgement must be newer; below PROXY_RENEWAL_AFTER_S
+STATUS_INTERVAL_S = 0.5  # between status broadcasts, as for heartbeats
+CANCEL_CONFIRM_TIMEOUT_S = 0.5  # wait for the other nodes' copies, which takes milliseconds
+CANCEL_CONFIRM_POLL_S = 0.01  # poll interval of that wait
 
 # --- a zone that is out of sight ------------------------------------------------------------
-UNTOLD_RETURN_S = 30.0  # users repeat a cancel for 60 s: half is left for the cloud's answer
-EVACUATE_BOOTS = 4.0  # a zone silent for so many boots: by then its work had long run elsewhere
-SLICE_SHARE = 1 / 12  # of its machines given back at once: what lives there loses no more
-DISTRUST_S = 5.0  # a zone that came back: nothing is rented there so long, twice as long each time
-DISTRUST_MOST_S = 160.0  # the longest of it: a zone is never shut out for ever
-FLAP_WINDOW_S = 900.0  # a zone whole for so long starts anew
+UNCONFIRMED_CANCEL_RETURN_S = 30.0  # users retry a cancel for 60 s; leaves half for the cloud
+EVACUATE_AFTER_BOOTS = 4.0  # in boot times; by then the work would have run elsewhere long ago
+EVACUATION_BATCH_SHARE = 1 / 12  # of the zone's machines; limits what one batch interrupts
+HOLDDOWN_S = 5.0  # no rentals in a zone for so long after its return; doubles with each flap
+HOLDDOWN_MAX_S = 160.0  # so that no zone is excluded for good
+FLAP_WINDOW_S = 900.0  # the flap count restarts after so long without a loss
 
-# --- a node that hears none of its machines -------------------------------------------------
-DEAF_SHARE = 0.8  # part of one's machines of a zone, quiet at once, that others hear
-DEAF_FEW = 4  # fewer machines say nothing about the node
-DEAF_LOOKS = 2  # looks in a row (STANDING_S apart) before it hands them over
-HEAR_PROBES = 3  # machines of the zone that are asked to find out whether it hears again
-HEAR_AGAIN_S = 6.0  # they answer for so long before it takes machines back; doubles each time
-HEAR_AGAIN_MOST_S = 180.0  # the longest of it
+# --- a node that receives nothing from its machines ------------------------------------------
+DEAF_SILENT_SHARE = 0.8  # share of the node's machines of a zone that are silent to it alone
+DEAF_MIN_MACHINES = 4  # fewer machines are no evidence about the node
+DEAF_ROUNDS = 2  # consecutive rounds, STATUS_INTERVAL_S apart, before the zone is handed over
+RECOVERY_PROBES = 3  # machines of the zone that are probed for recovery
+RECOVERY_S = 6.0  # probes must succeed for so long before taking back; doubles with each handover
+RECOVERY_MAX_S = 180.0  # upper bound of that doubling
--- a/pulleydeal/zones/hearing.py
+++ b/pulleydeal/zones/hearing.py
@@ -1,4 +1,4 @@
-"""A node that alone hears none of its machines of a zone hands them over, and takes them back."""
+"""Hands over a zone whose machines only this node can't hear, and takes it back on recovery."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,68 +11,73 @@
 from pulleydeal.zones import losses
 
 
-class Hearing:
-    """The view holds what was handed over, so whoever reads it knows the owner; only how often
-    is remembered here, and begins anew with the node."""
+class DeafnessMonitor:
+    """Detects zones that this node is deaf to and records them in the view.
+
+    The view holds which zones are handed over, so every node derives the same owners from it.
+    Only the number of handovers is kept here, and starts at zero with each start of the node.
+    """
 
     def __init__(
         self,
         context: FeatureContext,
-        others_see: Callable[[], list[Seen]],
-        all_on: Callable[[], bool],
+        peer_observations: Callable[[], list[Seen]],
+        all_enabled: Callable[[], bool],
     ) -> None:
         self._context = context
         self._membership = context.membership
-        self._others_see = others_see
-        self._all_on = all_on
+        self._peer_observations = peer_observations
+        self._all_enabled = all_enabled
         self._zones = {zone: losses.Deafness() for zone in context.deployment.zones}
 
-    async def work(self) -> None:
-        """One round; run for ever."""
-        await asyncio.sleep(z.STANDING_S)
-        if not self._membership.is_member or not self._all_on():
+    async def run_round(self) -> None:
+        """One round of detection or recovery; the node repeats it for ever."""
+        await asyncio.sleep(z.STATUS_INTERVAL_S)
+        if not self._membership.is_member or not self._all_enabled():
             return
         deaf = {zone for m, zone in self._membership.view.deaf if m == self._membership.me}
         stations = list(self._context.stations.values())
         now, report_s = self._context.clock.now(), self._context.deployment.workers.report_s
-        alone = losses.unheard(seen(stations, now, report_s), self._others_see(), deaf)
-        over = {
+        only_here = losses.deaf_zones(
+            seen(stations, now, report_s), self._peer_observations(), deaf
+        )
+        newly_deaf = {
             zone
             for zone, deafness in self._zones.items()
-            if deafness.look(zone in alone and zone not in deaf)
+            if deafness.observe(zone in only_here and zone not in deaf)
         }
-        if over and await self._membership.say_deaf(deaf | over):
-            for zone in over:
-                self._zones[zone].over()
+        if newly_deaf and await self._membership.say_deaf(deaf | newly_deaf):
+            for zone in newly_deaf:
+                self._zones[zone].record_handover()
         elif deaf:
             await self._take_back(deaf)
 
     async def _take_back(self, deaf: set[str]) -> None:
         zones = sorted(deaf)
-        answers = await asyncio.gather(*(self._answers(zone) for zone in zones))
+        answers = await asyncio.gather(*(self._probe_zone(zone) for zone in zones))
         now = self._context.clock.now()
-        heard = {
+        recovered = {
             zone
             for zone, answered in zip(zones, answers, strict=True)
-            if self._zones[zone].asked(answered, now)
+            if self._zones[zone].record_probes(answered, now)
         }
-        if heard:
-            await self._membership.say_deaf(deaf - heard)
+        if recovered:
+            await self._membership.say_deaf(deaf - recovered)
 
-    async def _answers(self, zone: str) -> bool:
-        """Whether machines there can be reached from here; they are not commanded."""
+    async def _probe_zone(self, zone: str) -> bool:
+        """Whether the zone's machines can be reached from here; sends them no commands."""
         machines = [
             m.record.addr
             for _, m in sorted(self._context.replica.machines.items())
             if m.record.zone == zone and m.record.state == "up" and m.record.addr
         ]
-        step = max(1, len(machines) // z.HEAR_PROBES)
-        asked = machines[::step][: z.HEAR_PROBES]
-        answers = await asyncio.gather(*(self._inspect(addr) for addr in asked))
-        # One of them may have died; none to ask says nothing against hearing.
+        step = max(1, len(machines) // z.RECOVERY_PROBES)
+        probed = machines[::step][: z.RECOVERY_PROBES]
+        answers = await asyncio.gather(*(self._probe(addr) for addr in probed))
+        # Half suffices, as one of them may have died. No machine to probe counts as success.
         return sum(answers) * 2 >= len(answers)
 
-    async def _inspect(self, addr: str) -> bool:
+    async def _probe(self, addr: str) -> bool:
         client = Client(addr, self._context.clock)
         try:
             status, _ = await client.request("GET", "/inspect", None, c.PROBE_TIMEOUT_S)
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -1,5 +1,5 @@
-"""Keeps a cut-off zone's leases from inside, holds untold what could not be kept, and says what
-is given back of a zone that stays out of sight."""
+"""The zones feature: renews leases in an isolated zone, confirms cancellations only once they are
+sure to take effect, and decides which machines of a lost zone are returned."""
 
 import asyncio
 import logging
@@ -16,14 +16,16 @@
 from pulleydeal.workers.station import Station
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide, losses
-from pulleydeal.zones.hearing import Hearing
-from pulleydeal.zones.messages import STANDING, Standing, pack, unpack
-from pulleydeal.zones.watch import Watch
+from pulleydeal.zones.hearing import DeafnessMonitor
+from pulleydeal.zones.messages import NODE_STATUS, NodeStatus, pack, unpack
+from pulleydeal.zones.watch import ZoneMonitor
 
 log = logging.getLogger("pulleydeal.zones")
 
 
 class Zones(Keeping):
+    """The lease and cancellation policy of a node that has this feature enabled."""
+
     def __init__(self, context: FeatureContext) -> None:
         self._membership = context.membership
         self._siblings = context.siblings
@@ -40,48 +42,50 @@
             for node in self._membership.nodes()
             if node != me
         }
-        self._stamps: dict[str, float] = {}  # sibling -> the last stamp that was heard of it
-        self._served_at: dict[str, float] = {}  # sibling -> when it last said that it is served
-        self._seen: dict[str, tuple[float, Seen]] = {}  # sibling -> when, and what it saw
+        self._stamps: dict[str, float] = {}  # peer -> latest stamp received from it
+        self._served_at: dict[str, float] = {}  # peer -> when it last reported that it is served
+        self._peer_seen: dict[str, tuple[float, Seen]] = {}  # peer -> (received at, observations)
         self._unserved_at = now  # when the state service last did not answer this node
-        self._said_at = -1e9
-        self._keeping = False
+        self._broadcast_at = -1e9
+        self._renewing = False
         registry = context.metrics.registry
-        self._kept = Counter(
+        self._renewals_count = Counter(
             "pulleydeal_leases_kept",
             "Check-ins of others' machines answered in a cut-off zone",
             registry=registry,
         )
-        self._untold = Counter(
+        self._unconfirmed_count = Counter(
             "pulleydeal_cancellations_untold",
             "Answers put off as a node out of reach may keep a cancelled task",
             registry=registry,
         )
-        self._keeps_zone = Gauge(
+        self._renewing_gauge = Gauge(
             "pulleydeal_keeps_zone",
             "1 while this node keeps its zone's leases from inside a cut",
             registry=registry,
         )
-        if decide.fits(self._times.lease_s, self._times.cancel_s):
+        if decide.lease_fits_cancel(self._times.lease_s, self._times.cancel_s):
             self._membership.serves["zones"] = z.FORMAT
         else:
-            # Not shown, so nobody keeps; cancellations are still told only when they can be kept.
+            # Without the announcement no node renews for others. Cancellations are still
+            # confirmed only once they are sure to take effect.
             log.error(
-                "zones: off: a lease of %g s leaves no time for a cancellation's %g s",
+                "proxy lease renewal is disabled: a lease of %g s does not end within"
+                " the cancellation limit of %g s",
                 self._times.lease_s,
                 self._times.cancel_s,
             )
-        self._watch = Watch(context, self._contacts, self.others_see, self.may_tell)
-        self._hearing = Hearing(context, self.others_see, self._all_on)
-        self._siblings.on(STANDING, self._on_standing)
+        self._zone_monitor = ZoneMonitor(context, self._contacts, self.others_see, self.may_tell)
+        self._deafness_monitor = DeafnessMonitor(context, self.others_see, self._all_enabled)
+        self._siblings.on(NODE_STATUS, self._on_status)
         self._replica.listen(self._on_change)
 
-    # --- the feature's face to the node -----------------------------------------------------
+    # --- the feature interface --------------------------------------------------------------
     async def start(self) -> None:
-        """Nothing to open: it speaks over the links that the node has."""
+        """Does nothing: the feature uses the links that the node has already."""
 
     def loops(self) -> dict[str, Step]:
-        return {"standing": self._tell, "hearing": self._hearing.work}
+        return {"standing": self._status_round, "hearing": self._deafness_monitor.run_round}
 
     def routes(self) -> list[Route]:
         return []
@@ -89,118 +93,119 @@
     def paths(self) -> dict[str, Handler]:
         return {}
 
-    # --- how nodes stand --------------------------------------------------------------------
-    async def _tell(self) -> None:
-        self._say()
-        self._watch.look()
-        if self._keeping and decide.keeps_nothing(self._self()):
-            self._show(False)
-        await asyncio.sleep(z.STANDING_S)
+    # --- status of nodes --------------------------------------------------------------------
+    async def _status_round(self) -> None:
+        self._broadcast_status()
+        self._zone_monitor.observe()
+        if self._renewing and decide.proxy_refusal(self._local_node()):
+            self._set_renewing(False)
+        await asyncio.sleep(z.STATUS_INTERVAL_S)
 
-    def _say(self) -> None:
-        now = self._said_at = self._clock.now()
+    def _broadcast_status(self) -> None:
+        now = self._broadcast_at = self._clock.now()
         served = self._store.client.failing_s() < c.SHUT_OUT_S
         if not served:
             self._unserved_at = now
-        # An older copy was loaded, if this start of the node is not the one in the view.
+        # If the view does not have this incarnation of the node, the loaded copy is older.
         revision = self._replica.revision if self._membership.is_member else 0
-        # What a node sees that hears nothing at all says nothing of the zones.
-        mine = self._mine()
-        shown = {} if losses.hears_nothing(mine) else mine
-        standing = Standing(now, revision, served, self._stamps, shown)
-        self._siblings.broadcast(STANDING, pack(standing))
-
-    def _on_standing(self, sender: str, payload: bytes) -> None:
-        standing = unpack(payload)
+        # The observations of a node that hears no machine at all are no evidence about zones.
+        observed = self._own_observations()
+        shown = {} if losses.hears_nothing(observed) else observed
+        status = NodeStatus(now, revision, served, self._stamps, shown)
+        self._siblings.broadcast(NODE_STATUS, pack(status))
+
+    def _on_status(self, sender: str, payload: bytes) -> None:
+        status = unpack(payload)
         now = self._clock.now()
-        self._stamps[sender] = standing.stamp
-        self._seen[sender] = (now, standing.seen)
-        if standing.served:
+        self._stamps[sender] = status.stamp
+        self._peer_seen[sender] = (now, status.seen)
+        if status.served:
             self._served_at[sender] = now
         contact = self._contacts[sender]
-        contact.revision = standing.revision
-        echo = standing.echoes.get(self._membership.me)
+        contact.revision = status.revision
+        echo = status.echoes.get(self._membership.me)
         if echo is not None and echo <= now:
-            contact.heard(echo, now)
+            contact.acknowledge(echo, now)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "view":
             view = self._replica.view
             for node, contact in self._contacts.items():
-                contact.view(node in view.members, view.epoch, self._clock.now())
+                contact.apply_view(node in view.members, view.epoch, self._clock.now())
         elif kind == "job":
             job = self._replica.jobs.get(name)
             over = job is not None and job.bound and job.is_cancelled
-            # Whoever cancelled it waits to hear this; one message goes for all of one watch.
-            if over and self._clock.now() - self._said_at >= c.WATCH_SPACING_S / 2:
-                self._say()
+            # The node that cancelled the job waits for this revision. One broadcast covers all
+            # changes of one watch.
+            if over and self._clock.now() - self._broadcast_at >= c.WATCH_SPACING_S / 2:
+                self._broadcast_status()
 
-    def _mine(self) -> Seen:
-        """How many of this node's own machines are quiet, and known, in each zone."""
+    def _own_observations(self) -> Seen:
+        """How many of this node's machines are silent, and known, in each zone."""
         return seen(list(self._stations.values()), self._clock.now(), self._times.report_s)
 
     def others_see(self) -> list[Seen]:
         now = self._clock.now()
-        return [found for at, found in self._seen.values() if now - at < c.HEARD_NOW_S]
+        return [found for at, found in self._peer_seen.values() if now - at < c.HEARD_NOW_S]
 
-    # --- keeping ----------------------------------------------------------------------------
-    def _self(self) -> decide.Self:
+    # --- proxy renewal ----------------------------------------------------------------------
+    def _local_node(self) -> decide.LocalNode:
         now = self._clock.now()
         heard = self._siblings.heard_s()
-        unheard_s = min(
+        peer_silence_s = min(
             (
                 now - self._served_at.get(node, -1e9) if contact.zone == self._zone else heard[node]
                 for node, contact in self._contacts.items()
             ),
             default=1e9,
         )
-        return decide.Self(
+        return decide.LocalNode(
             self._zone,
             self._membership.epoch,
             self._replica.loaded and self._membership.is_member,
-            self._all_on(),
+            self._all_enabled(),
             now - self._store.current_at,
-            unheard_s,
+            peer_silence_s,
         )
 
-    def _all_on(self) -> bool:
+    def _all_enabled(self) -> bool:
         return self._membership.all_serve("zones", z.FORMAT)
 
     def keeps(self, report: m.Report) -> bool:
-        me = self._self()
-        named = {task.task.rpartition("/")[0] for task in report.tasks}
+        node = self._local_node()
+        reported = {task.task.rpartition("/")[0] for task in report.tasks}
         cancelled = {
             name
-            for name in named
+            for name in reported
             if (job := self._replica.jobs.get(name)) is not None and job.is_cancelled
-        } | (named & self._membership.relayed_cancels())
+        } | (reported & self._membership.relayed_cancels())
         epoch = report.token >> c.EPOCH_SHIFT
-        why = decide.refuses_to_keep(me, report.zone, epoch, named, cancelled)
+        why = decide.renewal_refusal(node, report.zone, epoch, reported, cancelled)
         if why:
-            log.debug("machine %s is not kept: %s", report.machine, why)
+            log.debug("lease of machine %s is not renewed: %s", report.machine, why)
             return False
-        self._show(True)
-        self._kept.inc()
+        self._set_renewing(True)
+        self._renewals_count.inc()
         return True
 
-    def _show(self, keeping: bool) -> None:
-        if keeping != self._keeping:
-            self._keeping = keeping
-            self._keeps_zone.set(keeping)
+    def _set_renewing(self, renewing: bool) -> None:
+        if renewing != self._renewing:
+            self._renewing = renewing
+            self._renewing_gauge.set(renewing)
             log.info(
-                "%s the leases of zone %s from inside",
-                "keeps" if keeping else "keeps no more",
+                "%s leases of other nodes' machines in isolated zone %s",
+                "renewing" if renewing else "stopped renewing",
                 self._zone,
             )
 
     def bears_blindness(self, zone: str) -> bool:
-        return zone == self._zone and not decide.knows_too_little(self._self())
+        return zone == self._zone and not decide.state_refusal(self._local_node())
 
-    # --- what follows for all others ----------------------------------------------------------
+    # --- lease expiry, cancellations and returns ----------------------------------------------
     def alone(self, station: Station) -> bool:
         lease_s = self._times.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
-        return decide.lease_proves(
-            [k for k in self._contacts.values() if k.zone == station.zone],
+        return decide.no_peer_renewed(
+            [contact for contact in self._contacts.values() if contact.zone == station.zone],
             self._zone,
             self._unserved_at,
             station.seen_token >> c.EPOCH_SHIFT,
@@ -214,32 +219,33 @@
     def may_tell(self, job: Job) -> bool:
         if not self._membership.known_as_member():
             return False
-        # A machine whose record is gone was given back, with all that was on it; it counts until
-        # its bindings are taken back all the same.
+        # A machine without a record was returned with all its tasks. Its zone is unknown, so
+        # that every peer must know the cancellation until its bindings are removed.
         zones = {self._replica.zone_of.get(task.machine) for _, task in job.bindings()}
         if self._replica.revision < job.version:
-            zones.add(None)  # bindings written just before it may not be seen yet
-        neighbours = [
-            k
-            for node, k in self._contacts.items()
-            if (k.zone in zones or None in zones) and self._replica.shown.get(node, {}).get("zones")
+            zones.add(None)  # bindings written just before the cancellation may be missing here
+        peers = [
+            contact
+            for node, contact in self._contacts.items()
+            if (contact.zone in zones or None in zones)
+            and self._replica.shown.get(node, {}).get("zones")
         ]
-        return decide.may_tell(neighbours, job.version)
+        return decide.may_confirm_cancel(peers, job.version)
 
     async def comes_to_be_told(self, job: Job) -> bool:
-        until = self._clock.now() + z.TELL_WAIT_S
+        deadline = self._clock.now() + z.CANCEL_CONFIRM_TIMEOUT_S
         while not self.may_tell(job):
-            if self._clock.now() >= until:
-                self._untold.inc()
+            if self._clock.now() >= deadline:
+                self._unconfirmed_count.inc()
                 return False
-            await asyncio.sleep(z.TELL_LOOK_S)
+            await asyncio.sleep(z.CANCEL_CONFIRM_POLL_S)
         return True
 
     def watched_over(self) -> bool:
-        return self._all_on()
+        return self._all_enabled()
 
     def owed(self) -> dict[str, str]:
-        return self._watch.owed()
+        return self._zone_monitor.machines_to_return()
 
     def distrusted(self) -> set[str]:
-        return self._watch.distrusted()
+        return self._zone_monitor.excluded_zones()
--- a/tests/model/cut_zone.py
+++ b/tests/model/cut_zone.py
@@ -1,16 +1,16 @@
-"""A cut zone as an explicit model: every order of events within bounds, by the real decisions.
-
-One machine M with one task, an owner O outside, a node K in M's zone, the state service. O is one
-of two nodes: the first, when it alone can't hear M, hands it over to the second, and may take it
-back. Time goes in ticks; in each, the links stand in one of MODES, M reports to somebody or nobody,
-and O, K and the service do what they may. Broken is the model when O concludes that the task is
-gone while it runs (it would run twice), or when it still runs later than cancel_s after its user
-was told. How long a cut lasts has no bound: ages are capped where nothing depends on them.
-
-All times are kept as ages, capped where nothing depends on them any more, so that the number of
-states is finite; bounded are the changes of the links and of the view. The constants are small
-numbers of ticks in the order of the real ones. A guard that is taken out (GUARDS) must lead to a
-counterexample; the shortest is kept as a trace.
+"""Explicit-state model of a zone that is cut off: explores every order of events within bounds.
+
+The model calls the real decision functions. One machine M runs one task. O is the owner outside
+M's zone, K a node inside it, and there is the state service. O is one of two nodes: when the first
+alone can't hear M, it hands M over to the second, and may take it back. Time advances in ticks. In
+each tick the links are in one of MODES, M reports to one node or to none, and O, K and the service
+act. An invariant is violated when O concludes that the task is gone while it runs (it would run
+twice), or when the task still runs more than CANCEL after its user got the confirmation.
+
+Times are ages, capped where nothing depends on them any more, so that the number of states is
+finite; a cut may last for ever. The number of link changes and of epochs is bounded. The constants
+are small numbers of ticks in the order of the real ones. Removing any of the guards (GUARDS) must
+lead to a counterexample; the shortest one is stored as a trace.
 """
 
 import contextlib
@@ -26,10 +26,10 @@
 from pulleydeal.zones import decide
 
 LEASE, CANCEL, TTL = 3, 5, 1  # ticks
-TICKS = {"KEEP_AFTER_S": 1.0, "CONTACT_S": 1.0}
-OLD = 20  # ticks: longer ago than anything asks for
-# Links that are up: O and K hear each other, the first O reaches M, the second does, K reaches the
-# state service.
+TICKS = {"PROXY_RENEWAL_AFTER_S": 1.0, "CONTACT_TIMEOUT_S": 1.0}
+OLD = 20  # ticks: longer than any limit that is checked
+# Mode -> links that are up: between O and K, from the first O to M, from the second O to M, from K
+# to the state service.
 MODES = {
     "whole": (True, True, True, True),
     "zone cut": (False, False, False, False),
@@ -45,59 +45,59 @@
 @dataclass(frozen=True, slots=True)
 class State:
     mode: str = "whole"
-    changes: int = 0  # of the links, so far
-    view: int = 1  # the epoch
-    member: bool = True  # K, in the view
-    k_lease: int = 0  # age of K's last renewal
-    deaf: bool = False  # the first O, in the view: the second one owns M
+    link_changes: int = 0  # so far
+    view: int = 1  # epoch of the view
+    member: bool = True  # whether the view has K
+    k_renewal_age: int = 0  # age of K's last membership renewal
+    deaf: bool = False  # the view has the first O as deaf, so the second one owns M
     cancelled: int = -1  # age of the durable cancellation; -1: none
-    told: int = -1  # age of its user's having been told
+    confirmed: int = -1  # age of the confirmation to its user; -1: none
     # M
     task: bool = True
     renewed: int = 0
     token: int = 1
-    # K's copy of the state, and when O was last heard
-    k_current: int = 0
+    # Age and contents of K's copy of the state, and time since K last heard O
+    k_staleness: int = 0
     k_epoch: int = 1
     k_member: bool = True
-    k_knows: bool = False  # of the cancellation
-    k_heard: int = 0
-    # O: the token from which on it trusts M, its last 200 (-1: none yet), what M last reported,
-    # and what it knows of K
+    k_knows_cancel: bool = False
+    k_silence: int = 0
+    # O: the token from which on it trusts M, the age of its last answer to M (-1: none yet), the
+    # token that M last reported and its age, and O's contact with K
     floor: int = 1
     answered: int = 0
     seen_token: int = 1
     token_at: int = 0
     bound: bool = True
     since: int = LEASE + 1
-    contact: int = 0
-    acked: bool = False  # K has shown that it has the cancellation
-    gone_epoch: int = 0  # 0: K is there
-    held: int = -1  # an answer of K's that is held back on its way: age of the stamp in it
+    ack_age: int = 0
+    k_acked_cancel: bool = False  # K has reported a copy with the cancellation
+    removed_epoch: int = 0  # first epoch without K; 0: K is a member
+    delayed_ack: int = -1  # age of the stamp in a delayed message of K; -1: no message is delayed
 
     def later(self) -> "State":
-        """One tick on: everything that has an age is older."""
+        """The same state one tick later: every age is increased."""
         aged = {
-            name: min(most, getattr(self, name) + 1)
-            for name, most in AGES.items()
+            name: min(max_age, getattr(self, name) + 1)
+            for name, max_age in AGES.items()
             if getattr(self, name) >= 0
         }
         return replace(self, **aged)
 
 
-# What has an age, and the age from which on nothing depends on it any more.
+# Fields that are ages, each with the age above which nothing depends on it.
 AGES = {
-    "k_lease": TTL + 1,
+    "k_renewal_age": TTL + 1,
     "cancelled": 0,
-    "told": CANCEL + 1,
+    "confirmed": CANCEL + 1,
     "renewed": LEASE + 1,
-    "k_current": 2,
-    "k_heard": 2,
+    "k_staleness": 2,
+    "k_silence": 2,
     "answered": LEASE + 1,
     "token_at": LEASE + 1,
     "since": LEASE + 1,
-    "contact": 2,
-    "held": 2,
+    "ack_age": 2,
+    "delayed_ack": 2,
 }
 
 
@@ -105,124 +105,126 @@
     return decide.Contact(
         "east",
         float(-s.since),
-        float(-s.contact),
-        revision=1 if s.acked else 0,
-        gone_epoch=s.gone_epoch or None,
+        float(-s.ack_age),
+        revision=1 if s.k_acked_cancel else 0,
+        removed_epoch=s.removed_epoch or None,
     )
 
 
-def taken_over(s: State, deaf: bool) -> State:
-    """By a new view, the other O owns M: what the earlier one had answered is not its own."""
+def with_new_owner(s: State, deaf: bool) -> State:
+    """Makes the other O the owner by a new view; it has not answered M yet."""
     return replace(s, view=s.view + 1, deaf=deaf, floor=s.view + 1, answered=-1, seen_token=0)
 
 
-def reaches(s: State) -> bool:
+def owner_reaches_machine(s: State) -> bool:
     _, first, second, _ = MODES[s.mode]
     return second if s.deaf else first
 
 
 def keeps(s: State) -> bool:
-    me = decide.Self("east", s.k_epoch, s.k_member, True, float(s.k_current), float(s.k_heard))
-    known = {"j"} if s.k_knows else set()
-    return not decide.refuses_to_keep(me, "east", s.token, ["j"] if s.task else [], known)
+    me = decide.LocalNode(
+        "east", s.k_epoch, s.k_member, True, float(s.k_staleness), float(s.k_silence)
+    )
+    known = {"j"} if s.k_knows_cancel else set()
+    return not decide.renewal_refusal(me, "east", s.token, ["j"] if s.task else [], known)
 
 
 Step = tuple[str, State]
 
 
-def links(s: State, most: int) -> Iterator[Step]:
+def link_steps(s: State, max_changes: int) -> Iterator[Step]:
     yield "", s
-    if s.changes < most:
+    if s.link_changes < max_changes:
         for mode in MODES:
             if mode != s.mode:
-                yield f"links: {mode}", replace(s, mode=mode, changes=s.changes + 1)
+                yield f"links: {mode}", replace(s, mode=mode, link_changes=s.link_changes + 1)
 
 
-def service(s: State, views: int) -> Iterator[Step]:
-    """The view and the cancellation; K's copy follows, and so does what is told."""
+def service_steps(s: State, max_epoch: int) -> Iterator[Step]:
+    """Changes of the view, handovers, and the cancellation of the job."""
     _, first, second, ks = MODES[s.mode]
     if ks:
-        s = replace(s, k_lease=0)
+        s = replace(s, k_renewal_age=0)
     options = [("", s)]
-    if s.member and s.k_lease > TTL and s.view < views:
-        gone = replace(s, view=s.view + 1, member=False, gone_epoch=s.view + 1)
+    if s.member and s.k_renewal_age > TTL and s.view < max_epoch:
+        gone = replace(s, view=s.view + 1, member=False, removed_epoch=s.view + 1)
         options.append(("O votes K out", gone))
-    elif not s.member and ks and s.view < views:
-        back = replace(s, view=s.view + 1, member=True, gone_epoch=0)
+    elif not s.member and ks and s.view < max_epoch:
+        back = replace(s, view=s.view + 1, member=True, removed_epoch=0)
         options.append(("K joins", back))
-    if s.deaf != (not first) and (second or s.deaf) and s.view < views:
+    if s.deaf != (not first) and (second or s.deaf) and s.view < max_epoch:
         said = "O takes M back" if s.deaf else "O hands M over"
-        options.append((said, taken_over(s, not s.deaf)))
+        options.append((said, with_new_owner(s, not s.deaf)))
     for text, after in options:
         yield text, after
         if after.cancelled < 0 and after.task:
-            told = f"{text}; " if text else ""
-            yield f"{told}the job is cancelled", replace(after, cancelled=0)
+            prefix = f"{text}; " if text else ""
+            yield f"{prefix}the job is cancelled", replace(after, cancelled=0)
 
 
-def k_follows(s: State, crash: bool) -> Iterator[Step]:
+def k_steps(s: State, crash: bool) -> Iterator[Step]:
     ok, _, _, ks = MODES[s.mode]
     if crash and s.k_member and not ks:
-        yield "K crashes and comes back with nothing", replace(s, k_member=False, k_current=2)
+        yield "K crashes and comes back with nothing", replace(s, k_member=False, k_staleness=2)
     if ks:
         s = replace(
             s,
-            k_current=0,
+            k_staleness=0,
             k_epoch=s.view,
             k_member=s.member,
-            k_knows=s.cancelled >= 0,
+            k_knows_cancel=s.cancelled >= 0,
         )
     if ok:
-        # Messages both ways within the tick; what was held back on its way comes first.
+        # Messages pass both ways within the tick; a delayed one arrives first.
         contact = contact_of(s)
-        if s.held >= 0:
-            contact.heard(float(-s.held), 0.0)
-        contact.heard(0.0, 0.0)
+        if s.delayed_ack >= 0:
+            contact.acknowledge(float(-s.delayed_ack), 0.0)
+        contact.acknowledge(0.0, 0.0)
         s = replace(
             s,
-            k_heard=0,
+            k_silence=0,
             since=int(-contact.since),
-            contact=int(-contact.answered),
-            acked=s.k_knows,
-            held=-1,
+            ack_age=int(-contact.acked_at),
+            k_acked_cancel=s.k_knows_cancel,
+            delayed_ack=-1,
         )
-    elif s.held < 0 and s.contact > 0:
-        s = replace(s, held=max(0, s.contact - 1))
+    elif s.delayed_ack < 0 and s.ack_age > 0:
+        s = replace(s, delayed_ack=max(0, s.ack_age - 1))
     yield "", s
 
 
-def reports(s: State) -> Iterator[Step]:
-    """M's lease, and where its report goes; who cancelled has the task killed by O's answer."""
+def report_steps(s: State) -> Iterator[Step]:
+    """Expiry of M's lease, and who gets M's report; O's answer kills a cancelled job's task."""
     if s.renewed > LEASE:
         s = replace(s, task=False)
     yield "", s
     if keeps(s):
         yield "K keeps M", replace(s, renewed=0)
     if s.token < s.floor and s.cancelled < 0:
-        # With its older picture; how long it may be blind for cancellations is bounded as ever.
+        # It acts on an older copy, but a cancellation reaches it within a bounded time.
         yield "an owner of before answers M", replace(s, renewed=0)
-    if not reaches(s):
+    if not owner_reaches_machine(s):
         return
     risen = s.token > s.seen_token
     heard = replace(
         s,
         seen_token=s.token,
         token_at=0 if risen else s.token_at,
-        # Only what was reported after the takeover proves that the task is gone.
+        # Only a report made after the takeover proves that the task is gone.
         bound=s.bound and (s.task or s.token < s.floor),
         answered=0,
     )
     yield "O answers M, but the answer is lost", heard
-    kept = s.task and s.cancelled < 0
-    bound = heard.bound and (kept or s.token < s.floor)
-    yield "O answers M", replace(heard, renewed=0, token=s.view, task=kept, bound=bound)
+    survives = s.task and s.cancelled < 0
+    bound = heard.bound and (survives or s.token < s.floor)
+    yield "O answers M", replace(heard, renewed=0, token=s.view, task=survives, bound=bound)
     if s.view > s.token:
         raised = replace(s, token=s.view, seen_token=s.view, token_at=0)
         yield "O's order raises M's token", raised
 
 
-def concludes(s: State) -> State:
-    """O's proof by lease, and the cancellation's telling."""
+def with_conclusions(s: State) -> State:
+    """O's conclusion from M's lease, and the confirmation of the cancellation."""
     m = Station("m", "t", "east", False, 0.0, s.floor << c.EPOCH_SHIFT, set())
     m.heard_at, m.seen_token = 0.0, s.seen_token << c.EPOCH_SHIFT
     m.answered_at = float(-s.answered) if s.answered >= 0 else None
@@ -230,34 +232,36 @@
     over = lease_over(m, 0.0, float(LEASE))
     k = contact_of(s)
     if s.bound and over:
-        alone = decide.lease_proves([k], "west", -float(OLD), s.seen_token, float(LEASE), 0.0)
-        if alone:
+        unrenewed = decide.no_peer_renewed(
+            [k], "west", -float(OLD), s.seen_token, float(LEASE), 0.0
+        )
+        if unrenewed:
             s = replace(s, bound=False)
-    if s.cancelled >= 0 and s.told < 0:
-        tellable = not s.bound or decide.may_tell([k], 1)
-        if tellable:
-            s = replace(s, told=0)
+    if s.cancelled >= 0 and s.confirmed < 0:
+        confirmable = not s.bound or decide.may_confirm_cancel([k], 1)
+        if confirmable:
+            s = replace(s, confirmed=0)
     return s
 
 
-def broken(s: State) -> str:
+def violation(s: State) -> str:
     if s.task and not s.bound:
         return "ran_twice: O takes the task for gone, and it runs"
-    if s.task and s.told > CANCEL:
+    if s.task and s.confirmed > CANCEL:
         return "ran_cancelled: its user was told, and it runs"
     return ""
 
 
-def steps(s: State, most: int, views: int, crash: bool) -> Iterator[Step]:
-    for a, s1 in links(s.later(), most):
-        for b, s2 in service(s1, views):
-            for d, s3 in k_follows(s2, crash):
-                for e, s4 in reports(s3):
-                    yield ", ".join(x for x in (a, b, d, e) if x), concludes(s4)
+def steps(s: State, max_changes: int, max_epoch: int, crash: bool) -> Iterator[Step]:
+    for a, s1 in link_steps(s.later(), max_changes):
+        for b, s2 in service_steps(s1, max_epoch):
+            for d, s3 in k_steps(s2, crash):
+                for e, s4 in report_steps(s3):
+                    yield ", ".join(x for x in (a, b, d, e) if x), with_conclusions(s4)
 
 
 @contextlib.contextmanager
-def small_constants() -> Iterator[None]:
+def scaled_constants() -> Iterator[None]:
     with contextlib.ExitStack() as stack:
         for name, ticks in TICKS.items():
             stack.enter_context(mock.patch.object(z, name, ticks))
@@ -266,125 +270,143 @@
         yield
 
 
-def explore(most: int, views: int, crash: bool) -> tuple[int, list[str]]:
-    """(states seen, the shortest way to a broken one: a line a tick; empty if there is none)."""
+def explore(max_changes: int, max_epoch: int, crash: bool) -> tuple[int, list[str]]:
+    """Returns the number of states and the shortest trace to a violation, one line a tick; empty:
+    there is none."""
     first = State()
-    came: dict[State, tuple[State, str] | None] = {first: None}
+    parents: dict[State, tuple[State, str] | None] = {first: None}
     queue = deque([first])
-    with small_constants():
+    with scaled_constants():
         while queue:
             s = queue.popleft()
-            for text, after in steps(s, most, views, crash):
-                if after in came:
+            for text, after in steps(s, max_changes, max_epoch, crash):
+                if after in parents:
                     continue
-                came[after] = (s, text)
-                if why := broken(after):
-                    return len(came), [*_way(came, after), f"broken: {why}"]
-                if after.task:  # once it is gone nothing can break
+                parents[after] = (s, text)
+                if why := violation(after):
+                    return len(parents), [*_trace_to(parents, after), f"broken: {why}"]
+                if after.task:  # without the task no invariant can be violated
                     queue.append(after)
-    return len(came), []
+    return len(parents), []
 
 
-def _way(came: dict[State, tuple[State, str] | None], last: State) -> list[str]:
+def _trace_to(parents: dict[State, tuple[State, str] | None], last: State) -> list[str]:
     lines = []
-    at: tuple[State, str] | None = came[last]
+    at: tuple[State, str] | None = parents[last]
     while at is not None:
         before, text = at
         lines.append(text or "nothing happens")
-        at = came[before]
+        at = parents[before]
     return [f"{i:2} {line}" for i, line in enumerate(reversed(lines), 1)]
 
 
-# --- guards taken out ------------------------------------------------------------------------
-def _without(name: str, reason: str) -> Callable[..., str]:
+# --- guards removed --------------------------------------------------------------------------
+def _ignoring_reason(name: str, reason: str) -> Callable[..., str]:
     real = getattr(decide, name)
 
-    def kept(*args: object) -> str:
+    def patched(*args: object) -> str:
         why: str = real(*args)
         return "" if why == reason else why
 
-    return kept
+    return patched
 
 
-def _never_wait(s: decide.Contact, stamp: float, _now: float) -> None:
-    s.answered = max(s.answered, stamp)
+def _ack_keeps_contact(s: decide.Contact, stamp: float, _now: float) -> None:
+    s.acked_at = max(s.acked_at, stamp)
 
 
-def _counts_from_answer(m: Station, now: float, lease_s: float) -> bool:
+def _over_since_answer(m: Station, now: float, lease_s: float) -> bool:
     m.token_at = -float(OLD)
-    return _OVER(m, now, lease_s)
+    return _LEASE_OVER(m, now, lease_s)
 
 
-_OVER = lease_over
+_LEASE_OVER = lease_over
 
 
-def _or_voted_out(neighbours: list[decide.Contact], mark: int) -> bool:
-    return all(k.revision >= mark or k.gone_epoch is not None for k in neighbours)
+def _accept_removed_peers(peers: list[decide.Contact], revision: int) -> bool:
+    return all(k.revision >= revision or k.removed_epoch is not None for k in peers)
 
 
-# What is put in the place of a decision, and what breaks then.
+# Name of the guard -> patched object, attribute, replacement, and the violated invariant.
 GUARDS: dict[str, tuple[object, str, object, str]] = {
-    "any silence proves": (decide, "lease_proves", lambda *_: True, "ran_twice"),
+    "any silence proves": (decide, "no_peer_renewed", lambda *_: True, "ran_twice"),
     "a lease counts from the answer, though the token is new": (
-        *(sys.modules[__name__], "lease_over", _counts_from_answer),
+        *(sys.modules[__name__], "lease_over", _over_since_answer),
         "ran_twice",
     ),
     "contact after a gap counts from before it": (
-        *(decide.Contact, "heard", _never_wait),
+        *(decide.Contact, "acknowledge", _ack_keeps_contact),
         "ran_twice",
     ),
     "keeps though somebody is in reach": (
         *(
             decide,
-            "keeps_nothing",
-            _without("keeps_nothing", "somebody who knows more is in reach"),
+            "proxy_refusal",
+            _ignoring_reason("proxy_refusal", "somebody who knows more is in reach"),
         ),
         "ran_twice",
     ),
     "keeps what somebody newer commands": (
-        *(decide, "refuses_to_keep", _without("refuses_to_keep", "commanded by somebody newer")),
+        *(
+            decide,
+            "renewal_refusal",
+            _ignoring_reason("renewal_refusal", "commanded by somebody newer"),
+        ),
         "ran_twice",
     ),
     "keeps a cancelled job's task": (
-        *(decide, "refuses_to_keep", _without("refuses_to_keep", "has a task of a cancelled job")),
+        *(
+            decide,
+            "renewal_refusal",
+            _ignoring_reason("renewal_refusal", "has a task of a cancelled job"),
+        ),
         "ran_cancelled",
     ),
     "keeps without being a member": (
         *(
             decide,
-            "knows_too_little",
-            _without("knows_too_little", "not a member when last current"),
+            "state_refusal",
+            _ignoring_reason("state_refusal", "not a member when last current"),
         ),
         "ran_twice",
     ),
-    "tells at once": (decide, "may_tell", lambda *_: True, "ran_cancelled"),
-    "tells when K is voted out": (*(decide, "may_tell", _or_voted_out), "ran_cancelled"),
+    "tells at once": (decide, "may_confirm_cancel", lambda *_: True, "ran_cancelled"),
+    "tells when K is voted out": (
+        *(decide, "may_confirm_cancel", _accept_removed_peers),
+        "ran_cancelled",
+    ),
     "an owner believes M before it holds its token": (
         *(Station, "trusted", property(lambda _: True)),
         "ran_twice",
     ),
 }
 
-CHANGES = {"keeps without being a member": 3}  # of the links, where the usual two are too few
+CHANGES = {"keeps without being a member": 3}  # link changes, where the default of two is too few
 
 
-def explore_without(guard: str, most: int, views: int) -> list[str]:
-    place, name, instead, _ = GUARDS[guard]
-    with mock.patch.object(place, name, instead):
-        return explore(most, views, crash=False)[1]
+def explore_without(guard: str, max_changes: int, max_epoch: int) -> list[str]:
+    target, name, replacement, _ = GUARDS[guard]
+    with mock.patch.object(target, name, replacement):
+        return explore(max_changes, max_epoch, crash=False)[1]
 
 
-def follow(way: list[str]) -> str:
-    """The rule that a kept way leads to break, or nothing: it can't be gone, or breaks none."""
-    at = {State()}
-    with small_constants():
-        for line in way[:-1]:
+def replay(trace: list[str]) -> str:
+    """Replays a stored trace; returns the violation that it ends in. Empty: it violates no
+    invariant, or its steps are not possible."""
+    states = {State()}
+    with scaled_constants():
+        for line in trace[:-1]:
             label = line[3:].replace("nothing happens", "")
-            at = {s for before in at for text, s in steps(before, OLD, OLD, False) if text == label}
-    return next(filter(None, map(broken, at)), "")
-
-
-def follow_without(guard: str, way: list[str]) -> str:
-    place, name, instead, _ = GUARDS[guard]
-    with mock.patch.object(place, name, instead):
-        return follow(way)
+            states = {
+                s
+                for before in states
+                for text, s in steps(before, OLD, OLD, False)
+                if text == label
+            }
+    return next(filter(None, map(violation, states)), "")
+
+
+def replay_without(guard: str, trace: list[str]) -> str:
+    target, name, replacement, _ = GUARDS[guard]
+    with mock.patch.object(target, name, replacement):
+        return replay(trace)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off keeps its work: the decisions, what is said on the wire, the model."""
+"""Proxy lease renewal in a zone that is cut off: decisions, status messages and the model."""
 
 from pathlib import Path
 
@@ -10,34 +10,34 @@
 from pulleydeal.workers.station import Station, absorb, lease_over
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide
-from pulleydeal.zones.messages import Standing, pack, unpack
-from tests.model.cut_zone import GUARDS, explore, follow, follow_without
+from pulleydeal.zones.messages import NodeStatus, pack, unpack
+from tests.model.cut_zone import GUARDS, explore, replay, replay_without
 
 TRACE = Path(__file__).parent / "traces" / "cut_zone_model.txt"
 LEASE_S = 14.0
 
 
-def inside(**more: object) -> decide.Self:
+def local_node(**more: object) -> decide.LocalNode:
     values: dict[str, object] = {
         "zone": "east",
         "epoch": 7,
-        "member": True,
-        "all_on": True,
-        "blind_s": 10.0,
-        "unheard_s": 10.0,
+        "is_member": True,
+        "all_enabled": True,
+        "stale_s": 10.0,
+        "peer_silence_s": 10.0,
     }
-    return decide.Self(**(values | more))  # type: ignore[arg-type]
+    return decide.LocalNode(**(values | more))  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ("me", "machine", "why"),
     [
         ({}, {}, ""),
-        ({"blind_s": 3.0}, {}, "in reach"),
-        ({"unheard_s": 3.0}, {}, "in reach"),
-        ({"member": False}, {}, "not a member"),
-        ({"all_on": False}, {}, "not every node"),
-        ({"blind_s": 86_400.0, "unheard_s": 86_400.0}, {}, ""),  # however long the cut lasts
+        ({"stale_s": 3.0}, {}, "in reach"),
+        ({"peer_silence_s": 3.0}, {}, "in reach"),
+        ({"is_member": False}, {}, "not a member"),
+        ({"all_enabled": False}, {}, "not every node"),
+        ({"stale_s": 86_400.0, "peer_silence_s": 86_400.0}, {}, ""),  # no limit in time
         ({}, {"zone": "west"}, "another zone"),
         ({}, {"token_epoch": 8}, "somebody newer"),
         ({}, {"token_epoch": 2}, ""),
@@ -45,61 +45,63 @@
         ({}, {"cancelled": {"j-9"}}, ""),
     ],
 )
-def test_who_keeps_a_machine(me: dict[str, object], machine: dict[str, object], why: str) -> None:
+def test_when_a_lease_is_renewed_by_proxy(
+    me: dict[str, object], machine: dict[str, object], why: str
+) -> None:
     values: dict[str, object] = {
         "zone": "east",
         "token_epoch": 7,
         "jobs": ["j-1", "j-2"],
         "cancelled": set(),
     }
-    found = decide.refuses_to_keep(inside(**me), **(values | machine))  # type: ignore[arg-type]
+    found = decide.renewal_refusal(local_node(**me), **(values | machine))  # type: ignore[arg-type]
     assert why in found
     assert bool(why) == bool(found)
 
 
-def proves(k: decide.Contact, now: float, epoch: int = 7) -> bool:
-    return decide.lease_proves([k], "west", -1e9, epoch, LEASE_S, now)
+def unrenewed(peer: decide.Contact, now: float, epoch: int = 7) -> bool:
+    return decide.no_peer_renewed([peer], "west", -1e9, epoch, LEASE_S, now)
 
 
-def heard_each_half_second(k: decide.Contact, first: float, last: float) -> None:
+def acknowledge_each_half_second(peer: decide.Contact, first: float, last: float) -> None:
     tenths = range(int(first * 10), int(last * 10) + 1, 5)
     for tenth in tenths:
-        k.heard(tenth / 10, tenth / 10 + 0.01)
+        peer.acknowledge(tenth / 10, tenth / 10 + 0.01)
 
 
-def test_silence_proves_only_over_a_whole_lease_of_contact() -> None:
-    k = decide.Contact("east", 0.0, -1e9)
-    heard_each_half_second(k, 0.0, 100.0)
-    assert proves(k, 100.5)
-    assert not proves(k, 100.0 + z.CONTACT_S + 0.1)
-    # Contact again after a gap: it may have kept machines until now.
-    heard_each_half_second(k, 105.0, 119.0)
-    assert not proves(k, 119.0)
-    heard_each_half_second(k, 119.5, 119.5)
-    assert proves(k, 119.5)
+def test_silence_is_proof_only_after_a_whole_lease_of_contact() -> None:
+    peer = decide.Contact("east", 0.0, -1e9)
+    acknowledge_each_half_second(peer, 0.0, 100.0)
+    assert unrenewed(peer, 100.5)
+    assert not unrenewed(peer, 100.0 + z.CONTACT_TIMEOUT_S + 0.1)
+    # Contact resumes after a gap: the peer may have renewed leases until now.
+    acknowledge_each_half_second(peer, 105.0, 119.0)
+    assert not unrenewed(peer, 119.0)
+    acknowledge_each_half_second(peer, 119.5, 119.5)
+    assert unrenewed(peer, 119.5)
 
 
-def test_an_answer_held_back_on_its_way_is_no_contact() -> None:
-    k = decide.Contact("east", 0.0, -1e9)
-    heard_each_half_second(k, 0.0, 50.0)
+def test_a_delayed_acknowledgement_is_no_contact() -> None:
+    peer = decide.Contact("east", 0.0, -1e9)
+    acknowledge_each_half_second(peer, 0.0, 50.0)
     for late in range(100, 120):
-        k.heard(50.1, float(late))  # sent before the cut, delivered now and again
-    assert not proves(k, 119.0)
+        peer.acknowledge(50.1, float(late))  # sent before the cut, delivered repeatedly
+    assert not unrenewed(peer, 119.0)
 
 
-def test_a_machine_that_left_a_lost_node_behind_is_believed() -> None:
-    k = decide.Contact("east", 0.0, -1e9)
-    k.view(member=True, epoch=7, now=0.0)
-    k.view(member=False, epoch=8, now=0.0)
-    assert not proves(k, 100.0, epoch=7)
-    assert proves(k, 100.0, epoch=8)
-    # It may have been a member again in a view that was never looked at here.
-    k.view(member=False, epoch=10, now=0.0)
-    assert not proves(k, 100.0, epoch=8)
+def test_a_token_newer_than_a_removed_peer_excludes_its_renewals() -> None:
+    peer = decide.Contact("east", 0.0, -1e9)
+    peer.apply_view(member=True, epoch=7, now=0.0)
+    peer.apply_view(member=False, epoch=8, now=0.0)
+    assert not unrenewed(peer, 100.0, epoch=7)
+    assert unrenewed(peer, 100.0, epoch=8)
+    # It may have been a member again in a view that was never evaluated here.
+    peer.apply_view(member=False, epoch=10, now=0.0)
+    assert not unrenewed(peer, 100.0, epoch=8)
 
 
-def test_a_lease_counts_from_when_the_machine_held_our_token() -> None:
-    """An earlier owner with an older picture renewed it after our first answer, which was lost."""
+def test_a_lease_counts_from_when_the_machine_held_the_owners_token() -> None:
+    """The owner's first answer was lost, and an earlier owner with an older copy renewed later."""
     s = Station("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
     s.heard_at, s.answered_at, s.seen_token = 30.0, 10.0, 6 << c.EPOCH_SHIFT
     assert not lease_over(s, 100.0, LEASE_S)
@@ -108,8 +110,8 @@
     assert lease_over(s, 32.0 + LEASE_S, LEASE_S)
 
 
-def test_a_new_session_begins_with_a_whole_lease() -> None:
-    """What an order had started in it was taken for lost by the answers to the session before."""
+def test_a_new_session_starts_with_a_whole_lease() -> None:
+    """Answers to the previous session ended the lease of tasks that an order had started in it."""
     s = Station("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
     for session, at in ((1, 10.0), (2, 100.0)):
         report = Report(
@@ -121,58 +123,58 @@
     assert lease_over(s, 101.1 + LEASE_S, LEASE_S)
 
 
-def test_of_ones_own_zone_only_a_served_node_is_proof() -> None:
-    k = decide.Contact("east", 0.0, -1e9)
-    heard_each_half_second(k, 0.0, 100.0)
+def test_peers_of_the_own_zone_are_proof_only_while_this_node_is_served() -> None:
+    peer = decide.Contact("east", 0.0, -1e9)
+    acknowledge_each_half_second(peer, 0.0, 100.0)
     for unserved_at, expected in ((100.0, False), (100.0 - LEASE_S - 1, True)):
-        found = decide.lease_proves([k], "east", unserved_at, 7, LEASE_S, 100.5)
+        found = decide.no_peer_renewed([peer], "east", unserved_at, 7, LEASE_S, 100.5)
         assert found is expected
 
 
-def test_a_cancellation_is_told_on_each_nodes_own_word_and_by_no_passing_of_time() -> None:
-    k = decide.Contact("east", 0.0, 0.0, revision=411)
-    assert not decide.may_tell([k], 412)
-    k.view(member=False, epoch=1, now=0.0)
-    assert not decide.may_tell([k], 412)
-    k.revision = 412
-    assert decide.may_tell([k], 412)
-    assert decide.may_tell([], 412)
+def test_a_cancellation_is_confirmed_only_when_every_peer_reports_its_revision() -> None:
+    peer = decide.Contact("east", 0.0, 0.0, revision=411)
+    assert not decide.may_confirm_cancel([peer], 412)
+    peer.apply_view(member=False, epoch=1, now=0.0)
+    assert not decide.may_confirm_cancel([peer], 412)
+    peer.revision = 412
+    assert decide.may_confirm_cancel([peer], 412)
+    assert decide.may_confirm_cancel([], 412)
 
 
-def test_settings_whose_leases_outlast_a_cancellation_switch_it_off() -> None:
-    assert decide.fits(14.0, 34.0)
-    assert not decide.fits(14.0, 15.0)
+def test_leases_longer_than_the_cancellation_limit_do_not_fit() -> None:
+    assert decide.lease_fits_cancel(14.0, 34.0)
+    assert not decide.lease_fits_cancel(14.0, 15.0)
 
 
-def test_what_nodes_say_comes_out_as_it_went_in() -> None:
-    said = Standing(12.5, 2**40, True, {"winch-1": 3.25}, {"east": (3, 70_000)})
-    assert unpack(pack(said)) == said
-    for cut in range(len(pack(said))):
+def test_status_messages_round_trip() -> None:
+    status = NodeStatus(12.5, 2**40, True, {"winch-1": 3.25}, {"east": (3, 70_000)})
+    assert unpack(pack(status)) == status
+    for cut in range(len(pack(status))):
         with pytest.raises(BadFrame):
-            unpack(pack(said)[:cut])
+            unpack(pack(status)[:cut])
 
 
 # --- the model -------------------------------------------------------------------------------
-def test_no_order_of_events_breaks_a_rule() -> None:
-    states, way = explore(1, 3, crash=True)
-    assert way == []
-    assert states > 5_000  # else the events no longer happen
+def test_no_order_of_events_violates_an_invariant() -> None:
+    states, trace = explore(1, 3, crash=True)
+    assert trace == []
+    assert states > 5_000  # fewer would mean that events no longer occur
 
 
-def kept_ways() -> dict[str, list[str]]:
+def stored_traces() -> dict[str, list[str]]:
     found: dict[str, list[str]] = {}
     for line in TRACE.read_text().splitlines():
         if line.startswith("["):
-            found[line.strip("[]")] = way = []
+            found[line.strip("[]")] = trace = []
         elif line and not line.startswith("#"):
-            way.append(line)
+            trace.append(line)
     return found
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_each_guard_taken_out_breaks_its_rule_as_the_trace_shows(guard: str) -> None:
-    way = kept_ways()[guard]
-    rule = GUARDS[guard][3]
-    assert way[-1].startswith(f"broken: {rule}")
-    assert follow_without(guard, way) == way[-1].removeprefix("broken: ")
-    assert follow(way) == ""
+def test_removing_a_guard_violates_its_invariant_as_in_the_stored_trace(guard: str) -> None:
+    trace = stored_traces()[guard]
+    invariant = GUARDS[guard][3]
+    assert trace[-1].startswith(f"broken: {invariant}")
+    assert replay_without(guard, trace) == trace[-1].removeprefix("broken: ")
+    assert replay(trace) == ""
