--- a/pulleydeal/fleet/__init__.py
+++ b/pulleydeal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Catalogue, rentals, draining, demand: which machines there should be."""
+"""The fleet: machine types, rental planning, renting, and returning machines."""
--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud, spoken to by its protocol."""
+"""Client of the cloud's HTTP interface."""
 
 import asyncio
 from typing import TypeVar
@@ -14,7 +14,7 @@
 
 
 class CloudTrouble(Exception):
-    """Refused or unanswered; a rental or a return may still be executed if unanswered."""
+    """A call was refused or not answered; a call without an answer may still be executed."""
 
     def __init__(self, reason: str, executed: bool) -> None:
         super().__init__(reason)
@@ -22,10 +22,10 @@
 
 
 class NoCapacity(Exception):
-    """None of this kind to be had now."""
+    """The cloud has no machines of the requested kind at present."""
 
 
-# PROTOCOL: malformed, too many requests, an outage; what is answered so was not executed.
+# PROTOCOL: malformed, too many requests, outage. Calls answered with these were not executed.
 NOT_EXECUTED = (400, 429, 503)
 
 T = TypeVar("T")
@@ -34,11 +34,13 @@
 def _understood(decoder: Decoder[T], reply: bytes) -> T:
     try:
         return decoder.decode(reply)
-    except MALFORMED as error:  # it may have been executed all the same
-        raise CloudTrouble(f"an answer that makes no sense: {error}", True) from error
+    except MALFORMED as error:  # the call may have been executed
+        raise CloudTrouble(f"malformed answer from the cloud: {error}", True) from error
 
 
 class Cloud:
+    """Rate-limited calls to the cloud: catalogue, rentals, returns and the list of machines."""
+
     def __init__(self, address: str, clock: Clock, rps: float) -> None:
         self._http = Client(address, clock)
         self._rate = Rate(rps * 0.8, clock)
--- a/pulleydeal/fleet/machine_records.py
+++ b/pulleydeal/fleet/machine_records.py
@@ -1,4 +1,4 @@
-"""Machines' records: changed on their versions and the view, many in one transaction."""
+"""Writes machine records, many in one transaction, conditional on their versions and the view."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -24,10 +24,12 @@
         self._store = store
         self._replica = store.replica
         self._clock = clock
-        self.batch = min(store.limits.ops, c.RECORDS_AT_ONCE)  # records in one transaction
+        self.max_records = min(
+            store.limits.ops, c.RECORDS_AT_ONCE
+        )  # most records in one transaction
 
     async def mark(self, machines: Iterable[Machine], why: str, turn: Turn = Turn.LATER) -> None:
-        """From then on no task can be bound to them; they are to be given back."""
+        """Marks machines for return; from then on no task can be bound to them."""
         wall = self._clock.wall()
 
         def drain(old: r.MachineRecord) -> r.MachineRecord:
@@ -37,10 +39,10 @@
             _log_marked(machine.id, why)
 
     async def mark_unknown(self, listed: Listed, why: str) -> None:
-        """The same of a machine that the cloud lists and this node's copy does not have.
+        """Marks a machine that the cloud lists and this node's copy lacks.
 
-        The list lags, and the copy may too: by now the machine may be up, with a record and tasks.
-        Deleted without a record of its own, their work was lost.
+        Both the list and the copy may lag: the machine may be up by now, with a record and tasks,
+        and returning it unmarked lost their work. The write fails if it has a record.
         """
         record = r.MachineRecord(
             "drain", listed.type, listed.zone, listed.spot, at=self._clock.wall(), why=why
@@ -51,27 +53,27 @@
             _log_marked(listed.id, why)
 
     async def record_gone(self, names: list[str]) -> None:
-        """The cloud's answer proved it."""
+        """Records that the cloud has taken the machines back."""
         wall = self._clock.wall()
 
         def gone(old: r.MachineRecord) -> r.MachineRecord:
             return msgspec.structs.replace(old, state="gone", at=wall)
 
-        while left := [
+        while remaining := [
             machine
             for machine in map(self._replica.machines.get, names)
             if machine is not None and machine.record.state != "gone"
         ]:
-            for machine in await self._rewrite(left, gone, turn=Turn.FIRST):
+            for machine in await self._rewrite(remaining, gone, turn=Turn.FIRST):
                 log.info(
-                    "machine %s given back (%s)",
+                    "machine %s returned (%s)",
                     machine.id,
                     machine.record.why,
                     extra={"machine": machine.id},
                 )
 
     async def purge(self) -> None:
-        """Drops the records of machines that are gone for so long that no old report is heard."""
+        """Deletes records of machines gone for so long that no late report of them can arrive."""
         wall = self._clock.wall()
         old = [
             machine
@@ -88,22 +90,22 @@
         change: Callable[[r.MachineRecord], r.MachineRecord | None],
         turn: Turn,
     ) -> list[Machine]:
-        """Changes records (None: drops them); tells which it did."""
+        """Applies `change` to each record (None: deletes it); returns the machines it changed."""
         written = []
-        for start in range(0, len(machines), self.batch):
-            batch = machines[start : start + self.batch]
+        for start in range(0, len(machines), self.max_records):
+            batch = machines[start : start + self.max_records]
             conditions = {r.machine_key(m.id): m.version for m in batch}
             conditions[r.VIEW] = self._replica.view_version
             new = {r.machine_key(m.id): change(m.record) for m in batch}
             puts: dict[str, object] = {k: v for k, v in new.items() if v is not None}
-            drops = [k for k, v in new.items() if v is None]
-            if await self._store.commit(conditions, puts, drops, turn=turn):
+            deletions = [k for k, v in new.items() if v is None]
+            if await self._store.commit(conditions, puts, deletions, turn=turn):
                 written += batch
             elif len(batch) > 1:
-                for machine in batch:  # one of them moved: the others need not wait for it
+                for machine in batch:  # one record changed: write the others without it
                     written += await self._rewrite([machine], change, turn)
         return written
 
 
 def _log_marked(machine: str, why: str) -> None:
-    log.info("machine %s is to go: %s", machine, why, extra={"machine": machine})
+    log.info("machine %s is marked for return: %s", machine, why, extra={"machine": machine})
--- a/pulleydeal/fleet/messages.py
+++ b/pulleydeal/fleet/messages.py
@@ -1,4 +1,4 @@
-"""The cloud's wire forms (PROTOCOL: rig_models, yards, loaners, blocks, hire, held_s)."""
+"""Messages of the cloud's interface; field names on the wire differ from ours (PROTOCOL)."""
 
 import msgspec
 from msgspec import Struct
--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -1,4 +1,4 @@
-"""How many machines of which kind are missing or idle: plain functions over the replica."""
+"""Rental planning: which machines to rent and which are unused. Plain functions."""
 
 import logging
 import math
@@ -20,74 +20,77 @@
 from pulleydeal.store.replica import Replica
 
 log = logging.getLogger("pulleydeal.fleet")
-Kind = tuple[str, str, bool]  # type, zone, spot
-Kinds = Literal["any", "spot", "cheap"]  # cheap: spot, and what is in use already
-NOTHING = Need(0.0, 0.0, 0.0)
+MachineKind = tuple[str, str, bool]  # type, zone, spot
+KindFilter = Literal["any", "spot", "cheap"]  # cheap: spot, and on-demand that is used anyway
+NO_RESOURCES = Need(0.0, 0.0, 0.0)
 
 
 @dataclass(slots=True)
-class Space:
-    """A machine that is there, boots, or is planned."""
+class Bin:
+    """A machine as a bin for packing tasks: up, booting, or to be rented."""
 
-    kind: Kind
+    kind: MachineKind
     room: Room
     machine: str = ""
-    idle: Need = NOTHING  # what idle-time tasks there use; free for work that may stop them
-    whole: bool = False  # ordinary, and nothing needs it but idle-time work
+    # Resources of its idle-time tasks; free for jobs that may preempt them
+    preemptible: Need = NO_RESOURCES
+    idle_time_only: bool = False  # on-demand, and nothing but idle-time work uses it
 
 
 @dataclass(slots=True)
-class Demand:
-    """What the plan is made for."""
+class PlanState:
+    """Input and working state of one rental plan."""
 
     jobs: list[Job]
-    spaces: list[Space]
+    bins: list[Bin]
     usage: dict[str, rules.Amount]
     zone_of: dict[str, str]
     types: dict[str, r.MachineType]
     teams: dict[str, Team]
     zones: list[str]
-    refused: set[Kind]
-    spare: list[r.JobSpec] = field(default_factory=list)  # room kept for jobs like these
-    new: list[Space] = field(default_factory=list)
-    ending: float = 0.0  # tasks that are likely to end before a machine rented now would be up
-    # Rooms only shrink while a plan is made: what did not fit a task does not fit the next of
-    # its shape, so each shape goes on where it last found room instead of from the start.
-    reached: dict[tuple[object, ...], int] = field(default_factory=dict)
-    there: Counter[str] = field(default_factory=Counter)  # machines by zone
-
-    unseen: set[str] = field(
-        default_factory=set
-    )  # zones cut off or just back: nothing is rented there
-    aimed: set[str] = field(default_factory=set)  # classes for which somebody said by when
+    unavailable: set[MachineKind]  # kinds of which the cloud lately had none
+    headroom: list[r.JobSpec] = field(default_factory=list)  # jobs for which room is kept free
+    new_bins: list[Bin] = field(default_factory=list)
+    expected_ends: float = 0.0  # tasks that likely end before a machine rented now is up
+    # Room only shrinks while tasks are packed, so a bin that is too small for one task is too
+    # small for the next of the same shape: the search resumes at the last bin that fitted.
+    next_bin: dict[tuple[object, ...], int] = field(default_factory=dict)
+    zone_machines: Counter[str] = field(default_factory=Counter)  # machines of each zone
+
+    # Zones in which nothing is rented: out of sight, or back for too short a time
+    excluded_zones: set[str] = field(default_factory=set)
+    target_classes: set[str] = field(default_factory=set)  # job classes that have a time objective
     wall: float = 0.0
-    cheap: set[str] | None = None  # types whose spot machines pay; None: by the usual discount
+    spot_types: set[str] | None = None  # types worth renting as spot; None: by the default discount
 
     def __post_init__(self) -> None:
-        if self.cheap is None:
-            self.cheap = cheap_enough(self.types, Policy())
+        if self.spot_types is None:
+            self.spot_types = worthwhile_spot_types(self.types, Policy())
 
     @property
-    def spot_pays(self) -> bool:
-        return bool(self.cheap)
+    def has_spot_types(self) -> bool:
+        return bool(self.spot_types)
 
 
 def split_catalog(catalog: r.Catalog, limits: Limits) -> list[r.Catalog]:
-    """The catalogue in pieces that fit into a value each; a type too large for one is left out."""
+    """Splits the catalogue into parts that fit into one value; omits types too large for one."""
     parts = [r.Catalog([])]
     for type_ in catalog.types:
         alone = r.Catalog([type_])
         if not limits.fits(msgspec.json.encode(alone)):
-            log.error("machine type %.40s... has too large a description: not used", type_.name)
+            log.error(
+                "machine type %.40s...: description exceeds the size of a value; ignored",
+                type_.name,
+            )
             continue
-        longer = r.Catalog([*parts[-1].types, type_])
-        if limits.fits(msgspec.json.encode(longer)):
-            parts[-1] = longer
+        extended = r.Catalog([*parts[-1].types, type_])
+        if limits.fits(msgspec.json.encode(extended)):
+            parts[-1] = extended
         else:
             parts.append(alone)
     if len(parts) > limits.ops:
         log.error(
-            "%d machine types need %d values: only %d used",
+            "%d machine types need %d values, but a transaction takes only %d; ignoring the rest",
             len(catalog.types),
             len(parts),
             limits.ops,
@@ -95,8 +98,8 @@
     return parts[: limits.ops]
 
 
-def cheap_enough(types: dict[str, r.MachineType], policy: Policy) -> set[str]:
-    """Types whose spot machines cost little enough to put up with their loss."""
+def worthwhile_spot_types(types: dict[str, r.MachineType], policy: Policy) -> set[str]:
+    """Types whose spot price is low enough to accept the loss of spot machines."""
     return {
         t.name
         for t in types.values()
@@ -105,8 +108,8 @@
     }
 
 
-def prompt_classes(objectives: list[Objective], boot_s: float) -> tuple[set[str], bool]:
-    """Classes that must start sooner than a machine boots, and whether a guarantee must."""
+def fast_start_classes(objectives: list[Objective], boot_s: float) -> tuple[set[str], bool]:
+    """Classes with a waiting time objective within a boot, and whether a guarantee has one."""
     classes, guarantee = set(), False
     for objective in objectives:
         if objective.within_s is None or objective.within_s > boot_s:
@@ -117,15 +120,17 @@
     return classes, guarantee
 
 
-def spare(recent: list[tuple[float, r.JobSpec]], wall: float, boot_s: float) -> list[r.JobSpec]:
-    """As many of a class's latest jobs as come, on average, while a machine boots."""
-    came = [spec for at, spec in recent if wall - at < c.ARRIVALS_S]
-    count = math.ceil(len(came) / c.ARRIVALS_S * boot_s)
-    return came[-count:] if count else []
+def headroom_jobs(
+    recent: list[tuple[float, r.JobSpec]], wall: float, boot_s: float
+) -> list[r.JobSpec]:
+    """The latest jobs of a class, as many as arrive on average while a machine boots."""
+    arrived = [spec for at, spec in recent if wall - at < c.ARRIVALS_S]
+    count = math.ceil(len(arrived) / c.ARRIVALS_S * boot_s)
+    return arrived[-count:] if count else []
 
 
-def ending(jobs: list[Job], within_s: float) -> float:
-    """How many running tasks that may use spot are likely to end within that time."""
+def expected_ends(jobs: list[Job], within_s: float) -> float:
+    """Expected number of running tasks that may use spot machines and end within `within_s`."""
     return sum(
         job.bound * min(1.0, within_s / job.spec.estimate_s)
         for job in jobs
@@ -133,72 +138,77 @@
     )
 
 
-class Rooms:
-    """What is free on each machine, worked out anew where its bindings changed, and what idle-time
-    tasks use of it."""
+class FreeResources:
+    """Free resources of each machine and those used by its idle-time tasks; cached until the
+    machine's bindings change."""
 
-    def __init__(self, replica: Replica, aimed: set[str]) -> None:
+    def __init__(self, replica: Replica, target_classes: set[str]) -> None:
         self._replica = replica
-        self._aimed = aimed
-        self._known: dict[str, tuple[Room, Need]] = {}
+        self._target_classes = target_classes
+        self._cache: dict[str, tuple[Room, Need]] = {}
         replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind in ("bound", "machine"):
-            self._known.pop(name, None)
-        elif kind in ("view", "catalog"):  # also after everything was read anew
-            self._known.clear()
+            self._cache.pop(name, None)
+        elif kind in ("view", "catalog"):  # a full reload of the replica reports "view"
+            self._cache.clear()
 
     def of(self, machine: str, type_: r.MachineType) -> tuple[Room, Need]:
-        known = self._known.get(machine)
-        if known is None:
-            known = self._known[machine] = self._count(machine, type_)
-        room, idle = known
-        return Room(room.cpus, room.gpus, room.memory), idle
-
-    def _count(self, machine: str, type_: r.MachineType) -> tuple[Room, Need]:
-        room, idle = Room(type_.cpus, type_.gpus, type_.memory), NOTHING
+        cached = self._cache.get(machine)
+        if cached is None:
+            cached = self._cache[machine] = self._compute(machine, type_)
+        room, preemptible = cached
+        return Room(room.cpus, room.gpus, room.memory), preemptible
+
+    def _compute(self, machine: str, type_: r.MachineType) -> tuple[Room, Need]:
+        room, preemptible = Room(type_.cpus, type_.gpus, type_.memory), NO_RESOURCES
         for job_id, _ in self._replica.bound.get(machine, {}):
             spec = self._replica.jobs[job_id].spec
             if spec is None:
                 continue
             need = Need(spec.cpus, spec.gpus, spec.memory)
-            if rules.idle_time(spec, self._aimed):
-                idle = Need(idle.cpus + need.cpus, idle.gpus + need.gpus, idle.memory + need.memory)
+            if rules.idle_time(spec, self._target_classes):
+                preemptible = Need(
+                    preemptible.cpus + need.cpus,
+                    preemptible.gpus + need.gpus,
+                    preemptible.memory + need.memory,
+                )
             else:
                 room.take(need)
-        return room, idle
+        return room, preemptible
 
 
-def spaces(
-    replica: Replica, wall: float, rooms: Rooms, unseen: set[str] | None = None
-) -> list[Space]:
-    """Room there is; not in zones that are cut off, where nothing can be started."""
+def available_bins(
+    replica: Replica, wall: float, free: FreeResources, unseen_zones: set[str] | None = None
+) -> list[Bin]:
+    """Machines that are up or booting, except in zones out of sight, where nothing can start."""
     found = []
     for machine in replica.machines.values():
         rec = machine.record
         type_ = replica.types.get(rec.type)
-        if type_ is None or rec.state not in ("up", "boot") or rec.zone in (unseen or ()):
+        if type_ is None or rec.state not in ("up", "boot") or rec.zone in (unseen_zones or ()):
             continue
         if rec.state == "boot" and wall - rec.at > c.BOOT_LATE_FACTOR * type_.boot_s:
-            continue  # late: plan as if it never came
-        room, idle = rooms.of(machine.id, type_)
-        found.append(Space((rec.type, rec.zone, rec.spot), room, machine.id, idle))
-    # Spot first, as tasks that may use it are placed there; fullest first, so that what is free
-    # at the end is whole machines.
+            continue  # overdue: not counted on
+        room, preemptible = free.of(machine.id, type_)
+        found.append(Bin((rec.type, rec.zone, rec.spot), room, machine.id, preemptible))
+    # Spot first, as tasks that may use it are placed there. Then the fullest, so that what stays
+    # free are entire machines, which can be returned.
     found.sort(key=lambda s: (not s.kind[2], s.room.gpus, s.room.cpus))
     return found
 
 
-def patient_of_price(job: Job, spec: r.JobSpec, aimed: set[str], wall: float) -> bool:
-    """Idle-time work takes spot and what is free; at the ordinary price nothing is rented for it.
+def is_price_sensitive(job: Job, spec: r.JobSpec, target_classes: set[str], wall: float) -> bool:
+    """Whether no on-demand machine is rented for a job, as it is idle-time work that can wait.
 
-    Six guests' arrays that nobody had set a time for rented every ordinary machine that there was,
-    at four times the price (docs/results.md). But it is not left without: for what has waited for
-    longer than it would run, and has had less than half of its tasks started, or none at all, the
-    ordinary price is paid; tasks shorter than a boot are not helped by that.
+    Otherwise six guest users' arrays without a time objective rented every on-demand machine
+    there was, at four times the price (docs/results.md). To avoid starvation, on-demand machines
+    are rented for a job that has waited for longer than its tasks run, and at least for
+    IDLE_WORK_WAITS_S, if less than half of its tasks have started. For tasks shorter than that
+    only if none has: they gain nothing from a machine that has yet to boot.
     """
-    if not rules.idle_time(spec, aimed):
+    if not rules.idle_time(spec, target_classes):
         return False
     if wall - job.since <= max(spec.estimate_s, c.IDLE_WORK_WAITS_S):
         return True
@@ -206,152 +216,161 @@
     return started > 0 and (2 * started >= spec.tasks or spec.estimate_s < c.IDLE_WORK_WAITS_S)
 
 
-def missing(demand: Demand) -> Counter[Kind]:
-    """Packs the waiting tasks into the room there is; what is left over is to be rented.
+def plan_rentals(plan: PlanState) -> Counter[MachineKind]:
+    """Packs the waiting tasks onto existing machines; returns what to rent for the rest.
 
-    Room of idle-time tasks is room for all that may stop them: rented for as if it were taken, it
-    cost every ordinary machine that was to be had (docs/results.md).
+    Resources of idle-time tasks count as free for jobs that may preempt them. Counted as used,
+    they caused every available on-demand machine to be rented (docs/results.md).
     """
-    demand.there = Counter(space.kind[1] for space in demand.spaces)
-    left = _pack(demand, [job for job in demand.jobs if _stops(job)], c.PLAN_TASKS)
-    shared = [space for space in demand.spaces if space.idle is not NOTHING]
-    for space in demand.spaces:
-        space.whole = not space.kind[2] and _is_full(demand, space)
-    for space in shared:
-        space.room.take(space.idle)
-    left = _pack(demand, [job for job in demand.jobs if not _stops(job)], left)
-    for space in shared:
-        space.room.give(space.idle)
+    plan.zone_machines = Counter(bin_.kind[1] for bin_ in plan.bins)
+    left = _pack(plan, [job for job in plan.jobs if _preempts(job)], c.PLAN_TASKS)
+    shared = [bin_ for bin_ in plan.bins if bin_.preemptible is not NO_RESOURCES]
+    for bin_ in plan.bins:
+        bin_.idle_time_only = not bin_.kind[2] and _is_unused(plan, bin_)
+    for bin_ in shared:
+        bin_.room.take(bin_.preemptible)
+    left = _pack(plan, [job for job in plan.jobs if not _preempts(job)], left)
+    for bin_ in shared:
+        bin_.room.give(bin_.preemptible)
     if shared:
-        demand.reached.clear()  # rooms have grown again
-    for spec in demand.spare:
+        plan.next_bin.clear()  # room was given back, so earlier bins may fit again
+    for spec in plan.headroom:
         used = Counter[str]()
         for _ in range(min(left, spec.tasks)):
             left -= 1
-            # Spare room is for who comes next: not at the ordinary price for who may use spot.
-            keep: Kinds = "spot" if spec.spot and demand.spot_pays else "any"
-            if not _put(demand, spec, used, keep, rent=keep):
+            # Headroom for jobs that may use spot machines does not justify the on-demand price.
+            keep: KindFilter = "spot" if spec.spot and plan.has_spot_types else "any"
+            if not _place(plan, spec, used, keep, rented_kinds=keep):
                 break
-    return Counter(space.kind for space in demand.new)
+    return Counter(bin_.kind for bin_ in plan.new_bins)
 
 
-def _stops(job: Job) -> bool:
-    """Whether idle-time tasks stop for it."""
+def _preempts(job: Job) -> bool:
+    """Whether idle-time tasks may be preempted for the job."""
     return job.spec is not None and job.spec.priority > 0
 
 
-def _is_full(demand: Demand, space: Space) -> bool:
-    type_ = demand.types[space.kind[0]]
+def _is_unused(plan: PlanState, bin_: Bin) -> bool:
+    type_ = plan.types[bin_.kind[0]]
     used = (
-        type_.cpus - space.room.cpus,
-        type_.gpus - space.room.gpus,
-        type_.memory - space.room.memory,
+        type_.cpus - bin_.room.cpus,
+        type_.gpus - bin_.room.gpus,
+        type_.memory - bin_.room.memory,
     )
     return all(abs(amount) < rules.TINY for amount in used)
 
 
-def untouched(demand: Demand) -> set[str]:
-    """Of a plan that was made: machines that nothing is bound to or planned on, or on ordinary
-    ones nothing but idle-time work."""
+def unused_machines(plan: PlanState) -> set[str]:
+    """After planning: machines without bound or planned tasks; for on-demand ones idle-time tasks
+    don't count."""
     return {
-        space.machine
-        for space in demand.spaces
-        if space.machine
-        and _is_full(demand, space)
-        and (space.idle is NOTHING or not space.kind[2])
+        bin_.machine
+        for bin_ in plan.bins
+        if bin_.machine
+        and _is_unused(plan, bin_)
+        and (bin_.preemptible is NO_RESOURCES or not bin_.kind[2])
     }
 
 
-def _pack(demand: Demand, jobs: list[Job], left: int) -> int:
+def _pack(plan: PlanState, jobs: list[Job], left: int) -> int:
     for job in jobs:
         spec = job.spec
-        if spec is None or spec.team not in demand.teams:
+        if spec is None or spec.team not in plan.teams:
             continue
         waiting = spec.tasks - job.done - job.bound
         if waiting <= 0:
             continue
-        used = rules.zones_used([t.machine for _, t in job.bindings()], demand.zone_of)
-        patient = patient_of_price(job, spec, demand.aimed, demand.wall)
+        used = rules.zones_used([t.machine for _, t in job.bindings()], plan.zone_of)
+        price_sensitive = is_price_sensitive(job, spec, plan.target_classes, plan.wall)
         for _ in range(min(left, waiting)):
             left -= 1
-            after = rules.add(demand.usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
-            if not rules.within_limit(demand.teams[spec.team], after):
+            after = rules.add(plan.usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
+            if not rules.within_limit(plan.teams[spec.team], after):
                 break
-            demand.usage[spec.team] = after
-            if patient:
-                if not _put(demand, spec, used, "cheap", rent="spot"):
+            plan.usage[spec.team] = after
+            if price_sensitive:
+                if not _place(plan, spec, used, "cheap", rented_kinds="spot"):
                     break
                 continue
-            waits = spec.spot and spec.priority < c.ROOM_BELOW and demand.ending >= 1.0
-            if not _put(demand, spec, used, rent="spot" if waits else "any"):
-                if not waits:
+            expects_room = spec.spot and spec.priority < c.ROOM_BELOW and plan.expected_ends >= 1.0
+            if not _place(plan, spec, used, rented_kinds="spot" if expects_room else "any"):
+                if not expects_room:
                     break
-                demand.ending -= 1.0  # it will have that room before an ordinary machine boots
+                plan.expected_ends -= 1.0  # its room is free before a new machine boots
     return left
 
 
-def _put(
-    demand: Demand, spec: r.JobSpec, used: Counter[str], fit: Kinds = "any", rent: Kinds = "any"
+def _place(
+    plan: PlanState,
+    spec: r.JobSpec,
+    used: Counter[str],
+    existing_kinds: KindFilter = "any",
+    rented_kinds: KindFilter = "any",
 ) -> bool:
-    """Finds room on the machines there are (`fit`: of which kind), else on a new one (`rent`)."""
+    """Places a task on an existing machine, else on a new one; false: neither is possible.
+
+    `existing_kinds`, `rented_kinds`: which kinds of machines may be used or rented.
+    """
     need = Need(spec.cpus, spec.gpus, spec.memory)
-    zones = rules.zones_allowed(spec, used, demand.zones)
-    space = _fit(demand, spec, need, zones, fit) or _add(demand, spec, need, zones, rent)
-    if space is None:
+    zones = rules.zones_allowed(spec, used, plan.zones)
+    bin_ = _find_bin(plan, spec, need, zones, existing_kinds) or _add_bin(
+        plan, spec, need, zones, rented_kinds
+    )
+    if bin_ is None:
         return False
-    space.room.take(need)
-    used[space.kind[1]] += 1
+    bin_.room.take(need)
+    used[bin_.kind[1]] += 1
     return True
 
 
-def _fit(
-    demand: Demand, spec: r.JobSpec, need: Need, zones: list[str], kinds: Kinds
-) -> Space | None:
-    shape = (need, spec.spot, kinds, tuple(spec.types or ()), tuple(sorted(zones)))
-    old = len(demand.spaces)
-    for at in range(demand.reached.get(shape, 0), old + len(demand.new)):
-        space = demand.spaces[at] if at < old else demand.new[at - old]
-        type_, zone, spot = space.kind
+def _find_bin(
+    plan: PlanState, spec: r.JobSpec, need: Need, zones: list[str], allowed: KindFilter
+) -> Bin | None:
+    shape = (need, spec.spot, allowed, tuple(spec.types or ()), tuple(sorted(zones)))
+    existing = len(plan.bins)
+    for at in range(plan.next_bin.get(shape, 0), existing + len(plan.new_bins)):
+        bin_ = plan.bins[at] if at < existing else plan.new_bins[at - existing]
+        type_, zone, spot = bin_.kind
         if (
-            space.room.fits(need)
+            bin_.room.fits(need)
             and zone in zones
             and (spec.spot or not spot)
-            and (spot or kinds == "any" or (kinds == "cheap" and not space.whole))
+            and (spot or allowed == "any" or (allowed == "cheap" and not bin_.idle_time_only))
             and (spec.types is None or type_ in spec.types)
         ):
-            demand.reached[shape] = at
-            return space
-    demand.reached[shape] = old + len(demand.new)
+            plan.next_bin[shape] = at
+            return bin_
+    plan.next_bin[shape] = existing + len(plan.new_bins)
     return None
 
 
-def _add(
-    demand: Demand, spec: r.JobSpec, need: Need, zones: list[str], kinds: Kinds
-) -> Space | None:
-    options: list[tuple[float, int, Kind]] = []
-    for type_ in demand.types.values():
+def _add_bin(
+    plan: PlanState, spec: r.JobSpec, need: Need, zones: list[str], allowed: KindFilter
+) -> Bin | None:
+    options: list[tuple[float, int, MachineKind]] = []
+    for type_ in plan.types.values():
         if spec.types is not None and type_.name not in spec.types:
             continue
         if not Room(type_.cpus, type_.gpus, type_.memory).fits(need):
             continue
-        for zone in (z for z in zones if z in type_.zones and z not in demand.unseen):
+        for zone in (z for z in zones if z in type_.zones and z not in plan.excluded_zones):
             for spot in (False, True):
                 kind = (type_.name, zone, spot)
                 if (
                     (spot and not spec.spot)
-                    or (kinds == "spot" and not spot)
-                    or kind in demand.refused
+                    or (allowed == "spot" and not spot)
+                    or kind in plan.unavailable
                 ):
                     continue
                 price = type_.spot_price if spot else type_.price
-                if spot and type_.name not in (demand.cheap or ()):
+                if spot and type_.name not in (plan.spot_types or ()):
                     continue
-                options.append((price, demand.there[zone], kind))
+                options.append((price, plan.zone_machines[zone], kind))
     if not options:
         return None
     _, _, kind = min(options)
-    type_ = demand.types[kind[0]]
-    space = Space(kind, Room(type_.cpus, type_.gpus, type_.memory))
-    demand.new.append(space)
-    demand.there[kind[1]] += 1
-    return space
+    type_ = plan.types[kind[0]]
+    bin_ = Bin(kind, Room(type_.cpus, type_.gpus, type_.memory))
+    plan.new_bins.append(bin_)
+    plan.zone_machines[kind[1]] += 1
+    return bin_
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -1,4 +1,4 @@
-"""Rentals: under which name the cloud is asked, whatever becomes of the writes around that."""
+"""Rentals: the names by which the cloud is asked when writes of the rental fail."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,16 +22,16 @@
 JOB = r.JobSpec("j-1", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
 
 
-class Node:
-    """Membership, store, clock and cloud in one; what is written is seen at once."""
+class FakeNode:
+    """Membership, store, clock and cloud in one; writes show in the replica at once."""
 
     me, incarnation, epoch = "winch-0", "abc", 1
 
     def __init__(self) -> None:
         self.replica = Replica()
         self.limits = Limits(2_000, 8)
-        self.lost: list[bool] = []  # of the next commits: carried out, and the answer is lost
-        self.rented: list[str] = []
+        self.lose_answers: list[bool] = []  # for each next commit: execute it, then lose the answer
+        self.requested_names: list[str] = []
         self.answers: dict[str, list[str]] = {}
         self.serial = 0
         me: Any = self
@@ -56,13 +56,13 @@
         if any(self.replica.version(key) != mark for key, mark in conditions.items()):
             return False
         self.put(puts, list(deletes))
-        if self.lost and self.lost.pop(0):
+        if self.lose_answers and self.lose_answers.pop(0):
             raise Unknown("no answer")
         return True
 
     async def rent(self, name: str, _type: str, _zone: str, _spot: bool, count: int) -> list[str]:
-        """As PROTOCOL has it: a name that was answered gets the same answer, and rents nothing."""
-        self.rented.append(name)
+        """As in PROTOCOL: a name that was answered gets the same answer and rents nothing more."""
+        self.requested_names.append(name)
         if name not in self.answers:
             self.answers[name] = [f"vm-{self.serial + i:06d}" for i in range(count)]
             self.serial += count
@@ -76,57 +76,57 @@
 
     wall = now
 
-    def job(self, name: str) -> None:
+    def add_job(self, name: str) -> None:
         spec = msgspec.structs.replace(JOB, id=name, cpus=16.0)
         self.put({r.job_key(name): r.JobRecord("open", 1, self.now(), spec)}, [])
 
 
-def by_virtual_clock(day: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    found = []
+def run_virtually(scenario: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
+    results = []
 
-    async def work(_: LoopClock) -> None:
-        found.append(await day())
+    async def run(_: LoopClock) -> None:
+        results.append(await scenario())
 
-    virtually(work)
-    return found[0]
+    virtually(run)
+    return results[0]
 
 
-def test_a_rental_whose_write_lost_only_its_answer_takes_its_name_with_it() -> None:
-    """The next one had the same name: the cloud answered as before, and rented nothing."""
+def test_the_name_of_a_rental_is_used_up_if_only_the_answer_to_its_write_is_lost() -> None:
+    """The next rental had the same name, so the cloud answered as before and rented nothing."""
 
-    async def day() -> Node:
-        node = Node()
-        node.job("j-1")
-        node.lost = [True]
+    async def scenario() -> FakeNode:
+        node = FakeNode()
+        node.add_job("j-1")
+        node.lose_answers = [True]
         try:
             await node.fleet.rent()
         except Unknown:
-            await node.fleet.rent()  # what was written is found, asked for and answered
+            await node.fleet.rent()  # finds the rental that was written and completes it
         assert len(node.replica.machines) == 1 and not node.replica.rentals
-        node.job("j-2")
+        node.add_job("j-2")
         await node.fleet.rent()
         return node
 
-    node = by_virtual_clock(day)
+    node = run_virtually(scenario)
     assert len(node.replica.machines) == 2
-    assert len(set(node.rented)) == len(node.rented) == 2
+    assert len(set(node.requested_names)) == len(node.requested_names) == 2
 
 
-def test_a_rental_that_was_not_written_keeps_its_name_until_the_view_moves() -> None:
-    """Carried out late it is the same rental; under another view it can't be carried out."""
+def test_a_rental_that_was_not_written_keeps_its_name_until_the_view_changes() -> None:
+    """Executed late it is the same rental; under another view the write can't be executed."""
 
-    async def day() -> list[str]:
-        node = Node()
-        node.job("j-1")
+    async def scenario() -> list[str]:
+        node = FakeNode()
+        node.add_job("j-1")
         names = []
 
-        async def never(
+        async def commit_unanswered(
             conditions: dict[str, int], puts: dict[str, Any], *_: Any, **__: Any
         ) -> bool:
             names.append(next(iter(puts)))
             raise Unknown("no answer")
 
-        node.commit = never  # type: ignore[method-assign]
+        node.commit = commit_unanswered  # type: ignore[method-assign]
         for _ in range(2):
             try:
                 await node.fleet.rent()
@@ -139,45 +139,45 @@
             return names
         return []
 
-    first, second, third = by_virtual_clock(day)
+    first, second, third = run_virtually(scenario)
     assert first == second != third
 
 
-def test_a_rental_written_late_is_not_written_again_once_it_is_over() -> None:
-    """Its key is absent again by then, and nothing else had moved: so the second write moves it."""
+def test_an_unanswered_write_is_not_executed_after_its_rental_is_over() -> None:
+    """Its key is absent again by then, so the second write must change the view it depends on."""
 
-    async def day() -> tuple[bool, Node]:
-        node = Node()
-        node.job("j-1")
-        held: list[tuple[dict[str, int], dict[str, Any]]] = []
-        carried_out = node.commit
+    async def scenario() -> tuple[bool, FakeNode]:
+        node = FakeNode()
+        node.add_job("j-1")
+        pending: list[tuple[dict[str, int], dict[str, Any]]] = []
+        execute = node.commit
 
-        async def late(
+        async def commit_late(
             conditions: dict[str, int], puts: dict[str, Any], *_: Any, **__: Any
         ) -> bool:
-            held.append((conditions, puts))
+            pending.append((conditions, puts))
             raise Unknown("no answer")
 
-        node.commit = late  # type: ignore[method-assign]
+        node.commit = commit_late  # type: ignore[method-assign]
         try:
             await node.fleet.rent()
         except Unknown:
-            node.commit = carried_out  # type: ignore[method-assign]
+            node.commit = execute  # type: ignore[method-assign]
         await node.fleet.rent()
         assert len(node.replica.machines) == 1 and not node.replica.rentals
-        return await carried_out(*held[0]), node
+        return await execute(*pending[0]), node
 
-    applied, node = by_virtual_clock(day)
+    applied, node = run_virtually(scenario)
     assert not applied and not node.replica.rentals
 
 
-def test_types_that_are_recorded_late_don_t_replace_newer_ones() -> None:
-    async def day() -> tuple[Node, bool]:
-        node = Node()
-        held: list[tuple[dict[str, int], dict[str, Any]]] = []
+def test_a_late_write_of_machine_types_does_not_replace_newer_ones() -> None:
+    async def scenario() -> tuple[FakeNode, bool]:
+        node = FakeNode()
+        pending: list[tuple[dict[str, int], dict[str, Any]]] = []
 
-        async def hold(conditions: dict[str, int], puts: dict[str, Any], *_: Any) -> bool:
-            held.append((conditions, puts))
+        async def commit_late(conditions: dict[str, int], puts: dict[str, Any], *_: Any) -> bool:
+            pending.append((conditions, puts))
             raise Unknown("no answer")
 
         async def catalog() -> list[r.MachineType]:
@@ -186,13 +186,13 @@
         me: Any = node
         types = Types(me, me, me, me)
         node.catalog = catalog  # type: ignore[attr-defined]
-        node.commit, carried_out = hold, node.commit  # type: ignore[method-assign]
+        node.commit, execute = commit_late, node.commit  # type: ignore[method-assign]
         try:
             await types.catalog()
         except Unknown:
             newest = r.Catalog([msgspec.structs.replace(TYPE, name="t9")])
             node.put({r.CATALOG: newest}, [])
-        return node, await carried_out(*held[0])
+        return node, await execute(*pending[0])
 
-    node, late = by_virtual_clock(day)
-    assert not late and set(node.replica.types) == {"t9"}
+    node, applied = run_virtually(scenario)
+    assert not applied and set(node.replica.types) == {"t9"}
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -1,16 +1,13 @@
-"""A machine without a record is not given back on the word of an old copy.
+"""A machine that is missing from the leader's copy is not returned on the strength of that copy.
 
-What happens: the cloud's list names a machine as `starting` for long, or as failed, of which the
-fleet's leader has no record, and the leader deletes it. The list lags by up to ten seconds and the
-leader's copy may be behind as well: the machine can be up meanwhile, recorded by its owner and with
-tasks bound to it. Its deletion then throws their work away.
+The cloud lists a machine as failed, or as `starting` for too long, and the fleet's leader has no
+record of it. The list lags by up to ten seconds and the leader's copy may lag too: the machine may
+be up by now, recorded by its owner and with tasks bound to it. Returning it loses their work.
 
-Why: `Fleet.listing` asked only its own copy, after waiting for the list; nothing durable stood
-between that look and the deletion. All other machines are marked before they are given back, and
-bindings fail on the mark.
-
-What showed it: below, `given_back == ["vm-000009"]` while the state service has it as `up`. Found
-by reading (the open row of docs/incidents/ran-twice-at-size.md), not on a day that was played.
+`Fleet.listing` checked only the leader's own copy, after waiting for the list, and nothing durable
+stood between that check and the return. All other machines are marked before they are returned,
+and bindings fail on the mark. The fault was found by reading (the open row of
+docs/incidents/ran-twice-at-size.md); it shows as `returned == ["vm-000009"]` below.
 """
 
 import asyncio
@@ -18,26 +15,26 @@
 
 from pulleydeal.fleet import messages as m
 from pulleydeal.store import records as r
-from tests.test_rentals import Node, by_virtual_clock
+from tests.test_rentals import FakeNode, run_virtually
 
 NAME = "vm-000009"
 KEY = r.machine_key(NAME)
 
 
-class Lead(Node):
-    """The fleet's leader, whose copy may lack what the state service has."""
+class FakeLeader(FakeNode):
+    """The fleet's leader; with `recorded` the state service has a record that its copy lacks."""
 
     def __init__(self, entry: m.Listed, recorded: bool) -> None:
         super().__init__()
         self.entry = entry
         self.recorded = recorded
-        self.given_back: list[str] = []
+        self.returned: list[str] = []
 
     async def listing(self) -> list[m.Listed]:
         return [self.entry]
 
-    async def give_back_now(self, machines: list[str]) -> None:
-        self.given_back += machines
+    async def return_machines(self, machines: list[str]) -> None:
+        self.returned += machines
 
     async def commit(
         self, conditions: dict[str, int], puts: dict[str, Any], deletes: Any = (), **more: Any
@@ -48,34 +45,34 @@
 
 
 class Cloud:
-    def __init__(self, lead: Lead) -> None:
-        self.listing = lead.listing
-        self.give_back = lead.give_back_now
+    def __init__(self, leader: FakeLeader) -> None:
+        self.listing = leader.listing
+        self.give_back = leader.return_machines
 
 
-def played(state: Any, recorded: bool) -> Lead:
-    async def day() -> Lead:
+def run_rounds(state: Any, recorded: bool) -> FakeLeader:
+    async def scenario() -> FakeLeader:
         entry = m.Listed(NAME, "10.1.0.9:9000", "t4", "east", False, state, 1e6)
-        lead = Lead(entry, recorded)
-        lead.fleet._cloud = Cloud(lead)  # type: ignore[assignment]
+        leader = FakeLeader(entry, recorded)
+        leader.fleet._cloud = Cloud(leader)  # type: ignore[assignment]
         for _ in range(3):
-            await lead.fleet.listing()
-            await lead.fleet.give_back()
+            await leader.fleet.listing()
+            await leader.fleet.give_back()
         await asyncio.sleep(0)
-        return lead
+        return leader
 
-    lead: Lead = by_virtual_clock(day)
-    return lead
+    leader: FakeLeader = run_virtually(scenario)
+    return leader
 
 
-def test_a_machine_whose_record_the_copy_lacks_is_kept() -> None:
-    assert played("starting", recorded=True).given_back == []
-    assert played("failed", recorded=True).given_back == []
+def test_a_machine_with_a_record_that_the_copy_lacks_is_kept() -> None:
+    assert run_rounds("starting", recorded=True).returned == []
+    assert run_rounds("failed", recorded=True).returned == []
 
 
-def test_a_machine_that_has_no_record_is_marked_and_then_given_back_once() -> None:
+def test_a_machine_without_a_record_is_marked_and_then_returned_once() -> None:
     for state, why in (("starting", "never came up"), ("failed", "failed")):
-        lead = played(state, recorded=False)
-        assert lead.given_back == [NAME]
-        record = lead.replica.machines[NAME].record
+        leader = run_rounds(state, recorded=False)
+        assert leader.returned == [NAME]
+        record = leader.replica.machines[NAME].record
         assert (record.state, record.why, record.zone) == ("gone", why, "east")
