--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -14,7 +14,7 @@
 
 
 class CloudTrouble(Exception):
-    """A call was refused or not answered; a call without an answer may still be executed."""
+    """A call that was refused or not answered; an unanswered one may still be executed."""
 
     def __init__(self, reason: str, executed: bool) -> None:
         super().__init__(reason)
--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -202,9 +202,9 @@
 def is_price_sensitive(job: Job, spec: r.JobSpec, target_classes: set[str], wall: float) -> bool:
     """Whether no on-demand machine is rented for a job, as it is idle-time work that can wait.
 
-    Otherwise six guest users' arrays without a time objective rented every on-demand machine
-    there was, at four times the price (docs/results.md). To avoid starvation, on-demand machines
-    are rented for a job that has waited for longer than its tasks run, and at least for
+    Without this rule six guest users' arrays without a time objective rented every on-demand
+    machine there was, at four times the price (docs/results.md). To avoid starvation, on-demand
+    machines are rented for a job that has waited for longer than its tasks run, and at least for
     IDLE_WORK_WAITS_S, if less than half of its tasks have started. For tasks shorter than that
     only if none has: they gain nothing from a machine that has yet to boot.
     """
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -102,7 +102,7 @@
                 *(self._request_rental(name) for name in list(self._replica.rentals))
             )
             return
-        needed = plan.plan_rentals(self._plan_state())
+        needed = plan.plan_rentals(self._demand())
         names = []
         for (type_, zone, spot), count in needed.items():
             # The name stays the same until the write is answered, so that an unanswered write that
@@ -136,7 +136,7 @@
             self._unanswered_rental = ""
         return written
 
-    def _plan_state(self) -> plan.PlanState:
+    def _demand(self) -> plan.PlanState:
         now = self._clock.now()
         self._unavailable = {k: until for k, until in self._unavailable.items() if until > now}
         jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
@@ -281,7 +281,7 @@
         await asyncio.sleep(c.FLEET_TICK_S)
         if not self._membership.leads_fleet():
             return
-        await self._mark_lost_zone_machines()
+        await self._mark_out_of_sight()
         if self._clock.now() - self._idle_checked_at >= c.IDLE_LOOK_S:
             self._idle_checked_at = self._clock.now()
             await self._mark_unused()
@@ -292,8 +292,8 @@
                 await self._records.record_gone([machine.id for machine in batch])
         await self._records.purge()
 
-    async def _mark_lost_zone_machines(self) -> None:
-        """Marks machines of lost zones; only their return proves that their tasks are gone."""
+    async def _mark_out_of_sight(self) -> None:
+        """Marks machines out of sight whose tasks only a return can prove gone."""
         found: dict[str, list[Machine]] = {}
         for name, why in self._keeping.owed().items():
             machine = self._replica.machines[name]
@@ -317,7 +317,7 @@
     async def _mark_unused(self) -> None:
         now, wall = self._clock.now(), self._clock.wall()
         idle: dict[str, float] = {}
-        state = self._plan_state()
+        state = self._demand()
         plan.plan_rentals(state)  # machines that waiting tasks will use are not unused
         unused = plan.unused_machines(state)
         overdue_machines = []
--- a/pulleydeal/zones/constants.py
+++ b/pulleydeal/zones/constants.py
@@ -1,7 +1,8 @@
 """Constants of zone loss handling. Suffix _S: seconds."""
 
 FORMAT = 2  # version of the status messages and records; durable. 1 renewed for 90 s at most
-PROXY_RENEWAL_AFTER_S = 3.5  # isolation before a node renews for others; workers come after 5 s
+# Isolation before a node renews leases for others; workers try other nodes after 5 s of silence
+PROXY_RENEWAL_AFTER_S = 3.5
 CONTACT_TIMEOUT_S = 2.5  # a peer's last acknowledgement must be newer; below PROXY_RENEWAL_AFTER_S
 STATUS_INTERVAL_S = 0.5  # between status broadcasts, as for heartbeats
 CANCEL_CONFIRM_TIMEOUT_S = 0.5  # wait for the other nodes' copies, which takes milliseconds
--- a/pulleydeal/zones/losses.py
+++ b/pulleydeal/zones/losses.py
@@ -22,7 +22,7 @@
 
     lost_at: float | None = None  # out of sight since then; None: in sight
     returned_at: float = -1e9  # when it last came back into sight
-    flaps: int = 0  # returns counted within FLAP_WINDOW_S
+    flaps: int = 0  # returns so far; reset after FLAP_WINDOW_S in sight
     possible_renewers: frozenset[str] = frozenset()  # its nodes that may be renewing leases
     evacuated_at: float = -1e9  # when a batch of its machines was last returned
 
@@ -114,7 +114,7 @@
 
 # --- a node that receives nothing from its machines ------------------------------------------
 def hears_nothing(mine: Seen) -> bool:
-    """Whether a node with machines in several zones hears none of them: the node is at fault."""
+    """Whether a node with machines in several zones hears none, which is no evidence of a cut."""
     return len(mine) > 1 and all(silent == known for silent, known in mine.values())
 
 
@@ -125,8 +125,8 @@
 
     If no other node hears them either, the zone itself is out of sight. `deaf`: zones that are
     handed over already. Few machines are no evidence about the node, unless it hears none at all.
-    In that case zones in which nobody else owns a machine are included: their machines would
-    otherwise be returned as dead, one by one.
+    In that case zones in which nobody else owns a machine are handed over with the others: their
+    machines would otherwise be returned as dead, one by one.
     """
     nothing = hears_nothing(mine) or bool(deaf and all(q == k for q, k in mine.values()))
     found, unshared = set(), set()
--- a/pulleydeal/zones/watch.py
+++ b/pulleydeal/zones/watch.py
@@ -71,7 +71,7 @@
     # --- machines to return -----------------------------------------------------------------
     def machines_to_return(self) -> dict[str, str]:
         """Machine -> reason, in the order in which they are returned."""
-        found = dict.fromkeys(self._unconfirmed_cancels(), UNTOLD)
+        found = dict.fromkeys(self._unconfirmed_cancel_machines(), UNTOLD)
         now = self._context.clock.now()
         for zone, observed in self._zones.items():
             if observed.lost_at is None:
@@ -91,7 +91,7 @@
                 found.setdefault(lost.machine, EVACUATED)
         return found
 
-    def _unconfirmed_cancels(self) -> list[str]:
+    def _unconfirmed_cancel_machines(self) -> list[str]:
         """Machines with tasks of cancelled jobs whose cancellation can't be confirmed.
 
         They are returned early enough for the user, who repeats the request, to get the
