--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -26,7 +26,7 @@
 
 
 # PROTOCOL: malformed, too many requests, outage. Calls answered with these were not executed.
-NOT_EXECUTED = (400, 429, 503)
+NOT_EXECUTED_STATUSES = (400, 429, 503)
 
 T = TypeVar("T")
 
@@ -55,26 +55,29 @@
         if status == 503 and b"capacity" in reply:
             raise NoCapacity
         if status != 200:
-            executed = status not in NOT_EXECUTED
+            executed = status not in NOT_EXECUTED_STATUSES
             raise CloudTrouble(f"{method} {path}: {status} {reply[:100]!r}", executed)
         return reply
 
     async def catalog(self) -> list[MachineType]:
-        return [t.type() for t in _understood(m.CATALOG, await self._call("GET", "/catalog")).types]
+        return [
+            t.machine_type()
+            for t in _understood(m.CATALOG, await self._call("GET", "/catalog")).types
+        ]
 
     async def rent(self, request: str, type_: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = m.rent(request, type_, zone, spot, count)
+        body = m.rental_request(request, type_, zone, spot, count)
         return _understood(m.RENTED, await self._call("POST", "/rentals", body)).machines
 
     async def give_back(self, machines: list[str]) -> None:
-        await self._call("POST", "/rentals/return", m.give_back(machines))
+        await self._call("POST", "/rentals/return", m.return_request(machines))
 
-    async def listing(self) -> list[m.Listed]:
-        found: list[m.Listed] = []
+    async def listing(self) -> list[m.ListedMachine]:
+        machines: list[m.ListedMachine] = []
         path = f"/rentals?limit={c.LIST_PAGE}"
         while True:
-            after = f"&after={found[-1].id}" if found else ""
+            after = f"&after={machines[-1].id}" if machines else ""
             page = _understood(m.LISTING, await self._call("GET", path + after))
-            found += page.machines
+            machines += page.machines
             if not page.more or not page.machines:
-                return found
+                return machines
--- a/pulleydeal/fleet/machine_records.py
+++ b/pulleydeal/fleet/machine_records.py
@@ -7,7 +7,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
-from pulleydeal.fleet.messages import Listed
+from pulleydeal.fleet.messages import ListedMachine
 from pulleydeal.store import records as r
 from pulleydeal.store.rate import Turn
 from pulleydeal.store.replica import Machine
@@ -20,15 +20,18 @@
 
 
 class MachineRecords:
+    """Marks machines for return and records that they are gone."""
+
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store = store
         self._replica = store.replica
         self._clock = clock
-        self.max_records = min(
-            store.limits.ops, c.RECORDS_AT_ONCE
-        )  # most records in one transaction
+        # The most records in one transaction
+        self.max_records = min(store.limits.ops, c.RECORDS_AT_ONCE)
 
-    async def mark(self, machines: Iterable[Machine], why: str, turn: Turn = Turn.LATER) -> None:
+    async def mark_for_return(
+        self, machines: Iterable[Machine], why: str, turn: Turn = Turn.LATER
+    ) -> None:
         """Marks machines for return; from then on no task can be bound to them."""
         wall = self._clock.wall()
 
@@ -38,7 +41,7 @@
         for machine in await self._rewrite(list(machines), drain, turn):
             _log_marked(machine.id, why)
 
-    async def mark_unknown(self, listed: Listed, why: str) -> None:
+    async def mark_unrecorded(self, listed: ListedMachine, why: str) -> None:
         """Marks a machine that the cloud lists and this node's copy lacks.
 
         Both the list and the copy may lag: the machine may be up by now, with a record and tasks,
--- a/pulleydeal/fleet/messages.py
+++ b/pulleydeal/fleet/messages.py
@@ -6,7 +6,7 @@
 from pulleydeal.store.records import MachineType
 
 
-class WireType(Struct):
+class CloudMachineType(Struct):
     name: str
     cpus: float = msgspec.field(name="vcpus")
     memory: float = msgspec.field(name="ram_gb")
@@ -18,7 +18,7 @@
     zones: list[str] = msgspec.field(name="yards")
     gpus: float = msgspec.field(name="accelerators", default=0.0)
 
-    def type(self) -> MachineType:
+    def machine_type(self) -> MachineType:
         return MachineType(
             self.name,
             self.cpus,
@@ -33,15 +33,15 @@
         )
 
 
-class WireCatalog(Struct):
-    types: list[WireType] = msgspec.field(name="rig_models")
+class CloudCatalog(Struct):
+    types: list[CloudMachineType] = msgspec.field(name="rig_models")
 
 
-class Rented(Struct):
+class RentalAnswer(Struct):
     machines: list[str] = msgspec.field(name="blocks")
 
 
-class Listed(Struct):
+class ListedMachine(Struct):
     id: str = msgspec.field(name="name_id")
     addr: str
     type: str = msgspec.field(name="rig_model")
@@ -51,19 +51,21 @@
     age_s: float = msgspec.field(name="held_s")
 
 
-class Listing(Struct):
-    machines: list[Listed] = msgspec.field(name="blocks")
+class MachineList(Struct):
+    machines: list[ListedMachine] = msgspec.field(name="blocks")
     more: bool = msgspec.field(name="truncated", default=False)
 
 
-CATALOG = msgspec.json.Decoder(WireCatalog)
-RENTED = msgspec.json.Decoder(Rented)
-LISTING = msgspec.json.Decoder(Listing)
+CATALOG = msgspec.json.Decoder(CloudCatalog)
+RENTED = msgspec.json.Decoder(RentalAnswer)
+LISTING = msgspec.json.Decoder(MachineList)
 
 
-def rent(request: str, type_: str, zone: str, spot: bool, count: int) -> dict[str, object]:
+def rental_request(
+    request: str, type_: str, zone: str, spot: bool, count: int
+) -> dict[str, object]:
     return {"hire": request, "rig_model": type_, "yard": zone, "loaners": spot, "count": count}
 
 
-def give_back(machines: list[str]) -> dict[str, object]:
+def return_request(machines: list[str]) -> dict[str, object]:
     return {"blocks": machines}
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -10,7 +10,7 @@
 from pulleydeal.fleet import plan
 from pulleydeal.fleet.cloud import Cloud, CloudTrouble, NoCapacity
 from pulleydeal.fleet.machine_records import FAILED, NEVER_CAME_UP, MachineRecords
-from pulleydeal.fleet.messages import Listed
+from pulleydeal.fleet.messages import ListedMachine
 from pulleydeal.membership.service import Membership
 from pulleydeal.policy.language import Value
 from pulleydeal.policy.settings import Policy
@@ -251,12 +251,12 @@
             machine = self._replica.machines.get(entry.id)
             if machine is None:
                 if why := self._defect(entry):
-                    await self._records.mark_unknown(entry, why)
+                    await self._records.mark_unrecorded(entry, why)
             elif machine.record.state in ("up", "boot") and entry.state == "failed":
                 failed.append(machine)
-        await self._records.mark(failed, FAILED)
+        await self._records.mark_for_return(failed, FAILED)
 
-    def _defect(self, entry: Listed) -> str:
+    def _defect(self, entry: ListedMachine) -> str:
         """Why a machine without a record is to be returned; empty: it may still come up."""
         if entry.state == "failed":
             return FAILED
@@ -303,7 +303,7 @@
             ):
                 found.setdefault(why, []).append(machine)
         for why, machines in found.items():
-            await self._records.mark(machines, why, Turn.WORK)
+            await self._records.mark_for_return(machines, why, Turn.WORK)
 
     def _is_returnable(self, machine: Machine) -> bool:
         if machine.record.state != "drain":
@@ -331,7 +331,7 @@
             elif rec.state == "up" and machine.id in unused:
                 idle[machine.id] = self._idle_since.get(machine.id, now)
         self._idle_since = idle
-        await self._records.mark(overdue_machines, NEVER_CAME_UP)
+        await self._records.mark_for_return(overdue_machines, NEVER_CAME_UP)
         fleet = self._policy_input(state)
         idle_machines = [
             (self._replica.machines.get(machine), since) for machine, since in idle.items()
@@ -346,7 +346,7 @@
         spare = int(self._policy.value("spare_machines", fleet))
         on_demand = [m for m in unneeded if not m.record.spot]
         retained = {m.id for m in on_demand[: max(0, spare - (len(idle) - len(unneeded)))]}
-        await self._records.mark([m for m in unneeded if m.id not in retained], IDLE)
+        await self._records.mark_for_return([m for m in unneeded if m.id not in retained], IDLE)
 
     def _policy_input(self, state: plan.PlanState) -> dict[str, Value]:
         up = sum(m.record.state == "up" for m in self._replica.machines.values())
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -24,13 +24,13 @@
 class FakeLeader(FakeNode):
     """The fleet's leader; with `recorded` the state service has a record that its copy lacks."""
 
-    def __init__(self, entry: m.Listed, recorded: bool) -> None:
+    def __init__(self, entry: m.ListedMachine, recorded: bool) -> None:
         super().__init__()
         self.entry = entry
         self.recorded = recorded
         self.returned: list[str] = []
 
-    async def listing(self) -> list[m.Listed]:
+    async def listing(self) -> list[m.ListedMachine]:
         return [self.entry]
 
     async def return_machines(self, machines: list[str]) -> None:
@@ -52,7 +52,7 @@
 
 def run_rounds(state: Any, recorded: bool) -> FakeLeader:
     async def scenario() -> FakeLeader:
-        entry = m.Listed(NAME, "10.1.0.9:9000", "t4", "east", False, state, 1e6)
+        entry = m.ListedMachine(NAME, "10.1.0.9:9000", "t4", "east", False, state, 1e6)
         leader = FakeLeader(entry, recorded)
         leader.fleet._cloud = Cloud(leader)  # type: ignore[assignment]
         for _ in range(3):
