--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud, spoken to by its protocol."""
+"""Client of the cloud's HTTP interface."""
 
 import asyncio
 from typing import TypeVar
@@ -14,7 +14,7 @@
 
 
 class CloudTrouble(Exception):
-    """Refused or unanswered; a rental or a return may still be executed if unanswered."""
+    """A call that was refused or not answered; an unanswered one may still be executed."""
 
     def __init__(self, reason: str, executed: bool) -> None:
         super().__init__(reason)
@@ -22,11 +22,11 @@
 
 
 class NoCapacity(Exception):
-    """None of this kind to be had now."""
+    """The cloud has no machines of the requested kind at present."""
 
 
-# PROTOCOL: malformed, too many requests, an outage; what is answered so was not executed.
-NOT_EXECUTED = (400, 429, 503)
+# PROTOCOL: malformed, too many requests, outage. Calls answered with these were not executed.
+NOT_EXECUTED_STATUSES = (400, 429, 503)
 
 T = TypeVar("T")
 
@@ -34,11 +34,13 @@
 def _understood(decoder: Decoder[T], reply: bytes) -> T:
     try:
         return decoder.decode(reply)
-    except MALFORMED as error:  # it may have been executed all the same
-        raise CloudTrouble(f"an answer that makes no sense: {error}", True) from error
+    except MALFORMED as error:  # the call may have been executed
+        raise CloudTrouble(f"malformed answer from the cloud: {error}", True) from error
 
 
 class Cloud:
+    """Rate-limited calls to the cloud: catalogue, rentals, returns and the list of machines."""
+
     def __init__(self, address: str, clock: Clock, rps: float) -> None:
         self._http = Client(address, clock)
         self._rate = Rate(rps * 0.8, clock)
@@ -53,26 +55,29 @@
         if status == 503 and b"capacity" in reply:
             raise NoCapacity
         if status != 200:
-            executed = status not in NOT_EXECUTED
+            executed = status not in NOT_EXECUTED_STATUSES
             raise CloudTrouble(f"{method} {path}: {status} {reply[:100]!r}", executed)
         return reply
 
     async def catalog(self) -> list[MachineType]:
-        return [t.type() for t in _understood(m.CATALOG, await self._call("GET", "/catalog")).types]
+        return [
+            t.machine_type()
+            for t in _understood(m.CATALOG, await self._call("GET", "/catalog")).types
+        ]
 
     async def rent(self, request: str, type_: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = m.rent(request, type_, zone, spot, count)
+        body = m.rental_request(request, type_, zone, spot, count)
         return _understood(m.RENTED, await self._call("POST", "/rentals", body)).machines
 
     async def give_back(self, machines: list[str]) -> None:
-        await self._call("POST", "/rentals/return", m.give_back(machines))
+        await self._call("POST", "/rentals/return", m.return_request(machines))
 
-    async def listing(self) -> list[m.Listed]:
-        found: list[m.Listed] = []
+    async def listing(self) -> list[m.ListedMachine]:
+        machines: list[m.ListedMachine] = []
         path = f"/rentals?limit={c.LIST_PAGE}"
         while True:
-            after = f"&after={found[-1].id}" if found else ""
+            after = f"&after={machines[-1].id}" if machines else ""
             page = _understood(m.LISTING, await self._call("GET", path + after))
-            found += page.machines
+            machines += page.machines
             if not page.more or not page.machines:
-                return found
+                return machines
