--- a/pulleydeal/workers/__init__.py
+++ b/pulleydeal/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Check-ins, orders, tokens and leases: everything said with the machines."""
+"""Communication with worker machines: check-ins, orders, fencing tokens and leases."""
--- a/pulleydeal/workers/adopting.py
+++ b/pulleydeal/workers/adopting.py
@@ -1,4 +1,4 @@
-"""A machine has a durable record before anything is bound to it."""
+"""Writes the durable record of a machine, which exists before any task is bound to it."""
 
 import logging
 
--- a/pulleydeal/workers/changes.py
+++ b/pulleydeal/workers/changes.py
@@ -1,4 +1,4 @@
-"""What the end or the stop of a task changes in its job's record."""
+"""Applies the exit or the stop of a task to its job's record."""
 
 from pulleydeal import constants as c
 from pulleydeal.store.draft import Draft
@@ -6,7 +6,7 @@
 
 
 def apply_exit(draft: Draft, gone: Exit) -> None:
-    """The task is proved gone: it is unbound, and done if that is how it ended."""
+    """Unbinds a task that is proved to have ended, and marks it done if it succeeded."""
     old = draft.task(gone.index)
     if old.machine != gone.machine or old.attempt != gone.attempt:
         return
@@ -21,7 +21,7 @@
         if draft.spec.kind != "service":
             task.done = True
         if draft.spec.kind == "gang":
-            # PROTOCOL: a gang's tasks complete together; when one is done, all are.
+            # PROTOCOL: the tasks of a gang complete together, so one done means all done.
             for index in range(draft.spec.tasks):
                 peer = draft.edit(index)
                 if peer is not None and peer.attempt == gone.attempt:
@@ -31,6 +31,7 @@
 
 
 def apply_stop(draft: Draft, index: int, attempt: int, why: str) -> None:
+    """Requests an orderly stop of a bound task, or of its whole gang."""
     gang = draft.spec.kind == "gang"
     for i in range(draft.spec.tasks) if gang else [index]:
         old = draft.task(i)
--- a/pulleydeal/workers/commanding.py
+++ b/pulleydeal/workers/commanding.py
@@ -1,4 +1,4 @@
-"""Gives commands to owned machines: takes the right to each, checks it again, and logs both."""
+"""Sends commands to owned machines, each under a recorded authority, and logs every decision."""
 
 import logging
 from collections.abc import Callable
@@ -25,8 +25,11 @@
 
 
 class Commanding:
-    """`take_report`: is given reports that come back from orders; `replan`: a machine whose order
-    was not sent; `reachability_changed`: one that begins or ceases to answer."""
+    """Sends orders and probes, and handles what comes of them.
+
+    `take_report`: receives the reports that answer orders. `replan`: called with a machine whose
+    order was withdrawn. `reachability_changed`: called with one that starts or stops answering.
+    """
 
     def __init__(
         self,
@@ -60,11 +63,11 @@
         return CommandRight(self._membership.epoch, self.token(station), station.session)
 
     def give(self, station: Station, calls: Calls, runs: list[Start]) -> None:
-        """Sends commands straight to a machine, if the right to them still holds by then."""
+        """Queues commands, which are sent if the authority for them still holds at that time."""
         self.orders.give(Order(station, self.right(station), calls, runs, self._clock.now()))
 
     def probe(self, station: Station) -> None:
-        """Asks a machine whose reports stay out: silence alone may be a lost packet's."""
+        """Asks a machine for a report, such as when check-ins are missing, which may be lost."""
         if station.addr and not station.busy:
             self.give(station, [], [])
 
@@ -77,7 +80,7 @@
         waited_s: float = 0.0,
         allowed: bool = True,
     ) -> None:
-        """A line for each command that is sent, or that is not sent any more."""
+        """Logs one decision for each command that is sent or withdrawn."""
         for call in calls:
             action = m.ACTIONS[call["call"]]
             if action is Action.START and allowed:
@@ -96,7 +99,7 @@
             )
             self._decisions.write(decision)
 
-    # --- what the orders in flight ask ------------------------------------------------------
+    # --- callbacks of queued and sent orders (OrderOwner) -----------------------------------
     def lapse(self, order: Order) -> Lapse | None:
         machine = order.station.id
         may_start = all(self._may_start(machine, start) for start in order.runs)
@@ -120,10 +123,13 @@
             return
         count = order.station.wrong_answers[result.reason] + 1
         order.station.wrong_answers[result.reason] = count
-        # One that answers so for ever is asked each second: told at 1, 10, 100 and so on.
+        # Such a machine is probed again and again: log at 1, 10, 100 answers and so on.
         if str(count).strip("0") == "1":
             log.error(
-                "machine %s answers orders wrongly: %s (%d times)", machine, result.reason, count
+                "machine %s gave an invalid answer to an order: %s (%d times)",
+                machine,
+                result.reason,
+                count,
             )
 
     def withdrawn(self, order: Order, why: Lapse, waited_s: float) -> None:
--- a/pulleydeal/workers/commands.py
+++ b/pulleydeal/workers/commands.py
@@ -1,8 +1,8 @@
-"""Commands to machines, and the right under which each was decided.
+"""Commands to machines, and the authority under which each was decided.
 
-A right is taken together with the decision, as one immutable value, and travels with the command.
-It is compared with the state of the moment right before the command is sent. A command whose right
-has lapsed is dropped and planned anew; it is never given the right of a later moment
+The authority is captured with the decision, as one immutable value, and stays with the command. It
+is compared with the current one right before the command is sent. A command whose authority is no
+longer valid is withdrawn and planned again; it is never sent under a newer authority
 (docs/incidents/ran-twice-at-size.md).
 """
 
@@ -15,18 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRight:
-    """What entitled this node to command a machine when a plan was made."""
+    """Epoch, token and session under which a plan for a machine was made."""
 
     epoch: int
     token: int
-    session: int  # of the machine; commands for another session are refused by it
+    session: int  # of the machine, which refuses commands for another session
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Commands that are sent straight to a machine. Without commands it is a probe.
+    """Commands that are sent directly to a machine. Without commands it is a probe.
 
-    `station`: the tenure in which it was planned. A node that owns a machine anew has another one.
+    `station`: the state of the machine that the plan was made from. It identifies the ownership
+    period: a node that gives up a machine and owns it again has a new one.
     """
 
     station: Station
@@ -50,10 +51,10 @@
 def lapse(
     order: Order, station: Station | None, right: CommandRight, may_start: bool
 ) -> Lapse | None:
-    """Why an order may not be sent any more; None: it may.
+    """Why an order must not be sent any more; None: it may be sent.
 
-    `station`, `right`: those of the machine at this moment. `may_start`: whether every task that
-    the order starts is still bound to the machine and no end of it is being written.
+    `station`, `right`: the current ones of the machine. `may_start`: whether every task that the
+    order starts is still bound to the machine and no exit of it is being written.
     """
     if station is not order.station:
         return Lapse.TENURE
--- a/pulleydeal/workers/ends.py
+++ b/pulleydeal/workers/ends.py
@@ -1,4 +1,4 @@
-"""Makes durable that an attempt of a task ended, and knows which ends are still being written."""
+"""Records task exits durably, and tracks those that are still being written."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class Ends:
-    """`written`: called with a machine once an end there was written, or given up."""
+    """`written`: called with a machine after an exit there was written or dropped."""
 
     def __init__(
         self,
@@ -37,9 +37,10 @@
         self._decisions = decisions
         self._stations = stations
         self._written = written
-        self.pending: set[Start] = set()  # no start of these may be sent
+        self.pending: set[Start] = set()  # exits being written: none of these may be started
 
     def record(self, station: Station, gone: Exit) -> None:
+        """Logs an exit and queues its write, unless that is already pending."""
         start = (gone.job, gone.index, gone.attempt)
         if start in self.pending:
             return
@@ -68,11 +69,12 @@
         self._written(machine)
 
     def _prove(self, station: Station, gone: Exit, draft: Draft) -> None:
-        """Runs against the newest record and view, on which the commit is conditional.
+        """Applies the exit to the newest record, if its proof still holds.
 
-        Absence proves nothing once somebody else may have renewed the lease, or may have commanded
-        the machine: a node that was cut off and voted out concluded from silence all the same,
-        wrote it when it was back, and tasks ran twice.
+        The commit is conditional on that record and the view. Absence of a task proves nothing once
+        another node may have renewed the lease or commanded the machine: a node that was cut off
+        and removed from the view concluded exits from silence, wrote them on its return, and tasks
+        ran twice.
         """
         still_owner = self._membership.is_member and self._stations.get(station.id) is station
         if still_owner or not gone.by_absence:
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -1,4 +1,4 @@
-"""Machines that should go: silent and sick ones are marked, those with a notice are drained."""
+"""Removal of owned machines that are silent, sick, idle or about to be reclaimed."""
 
 import asyncio
 import logging
@@ -27,10 +27,12 @@
 from pulleydeal.workers.station import Blame, Station, is_sick
 
 log = logging.getLogger("pulleydeal.workers")
-IDLE = "idle"  # why a machine goes that nothing needs
+IDLE = "idle"  # drain reason of a machine that no work needs
 
 
 class Eviction:
+    """Marks silent and sick machines for drain, and stops tasks on machines that are to go."""
+
     def __init__(
         self,
         membership: Membership,
@@ -42,7 +44,7 @@
         keeping: Keeping,
         aimed: set[str],
     ) -> None:
-        self._aimed = aimed  # classes for which somebody has said by when
+        self._aimed = aimed  # job classes that have an objective
         self._membership = membership
         self._store = store
         self._replica = store.replica
@@ -51,15 +53,15 @@
         self._stations = stations
         self._commanding = commanding
         self._keeping = keeping
-        self._unseen_at: dict[str, float] = {}  # zone -> when it was last out of sight
+        self._unseen_at: dict[str, float] = {}  # zone -> when most of its machines were last silent
 
     def unseen_zones(self) -> set[str]:
-        """Zones that can't be seen at present."""
+        """Zones that are currently unreachable, as seen by this node and its peers."""
         stations, others = list(self._stations.values()), self._keeping.others_see()
         return out_of_sight(stations, self._clock.now(), self._times.report_s, others)
 
     async def tend(self) -> None:
-        """One round: marks silent and sick machines, and drains those with a notice."""
+        """One round: probes silent machines, marks those to drain, and stops tasks in time."""
         await asyncio.sleep(0.5)
         if not self._membership.is_member:
             return
@@ -82,7 +84,7 @@
         one_way = set(one_way_for_long(stations, now, report_s, self._times.lease_s))
         for station in stations:
             if self._stations.get(station.id) is not station:
-                continue  # given up while an earlier one was being written
+                continue  # no longer owned since another record was written in this loop
             quiet = silent_s(station, now) > c.PROBE_REPORTS * report_s
             if quiet or station.unanswered_since is not None or station.is_misunderstood:
                 self._commanding.probe(station)
@@ -91,11 +93,11 @@
                 self._clear_out(station)
             if record is None or record.record.state != "up":
                 continue
-            # Asked again: it may have been heard while another's record was written.
+            # Checked again: a report may have arrived while another record was written.
             if station.id in silent and silent_s(station, now) > c.PROBE_REPORTS * report_s:
                 await self.mark(station.id, "silent")
             elif station.id in one_way and (station.unanswered_since or station.mute_since):
-                log.info("machine %s reports or hears, but not both", station.id)
+                log.info("machine %s is reachable in one direction only", station.id)
                 await self.mark(station.id, "silent")
             elif is_sick(station, now, self._blame):
                 await self.mark(station.id, "sick")
@@ -103,9 +105,10 @@
                 self._drain_for_notice(station, now)
 
     def _blame(self, job_id: str, here: int) -> Blame:
-        """Who is to blame for a job's failures on one machine, by what it did on others.
+        """Whether a job's `here` failures on one machine are due to the job or to the machine.
 
-        One that was cancelled meanwhile says nothing of the machine.
+        A job that succeeded is sound, and one that failed elsewhere too is faulty. A cancelled job
+        is no evidence against the machine.
         """
         job = self._replica.jobs.get(job_id)
         if job is None or job.is_cancelled:
@@ -115,14 +118,16 @@
         return "job" if job.fails > here else "open"
 
     async def mark(self, machine: str, why: str) -> None:
+        """Writes durably that a machine is to be drained."""
         old = self._replica.machines[machine]
         record = msgspec.structs.replace(old.record, state="drain", why=why, at=self._clock.wall())
         key = r.machine_key(machine)
         conditions = {key: old.version, r.VIEW: self._replica.view_version}
         if await self._store.commit(conditions, {key: record}):
-            log.info("machine %s is to go: %s", machine, why, extra={"machine": machine})
+            log.info("machine %s marked for drain: %s", machine, why, extra={"machine": machine})
 
     def _drain_for_notice(self, station: Station, now: float) -> None:
+        """Stops tasks as late as possible before the cloud reclaims the spot machine."""
         assert station.notice_at is not None
         for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
             spec = self._replica.jobs[job_id].spec
@@ -136,14 +141,14 @@
                 self.stop(job_id, index, task.attempt, "the cloud takes its spot machine back")
 
     def _clear_out(self, station: Station) -> None:
-        """Idle-time work alone does not keep an ordinary machine that is to go."""
+        """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
         for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if spec is not None and not task.stop and rules.idle_time(spec, self._aimed):
                 self.stop(job_id, index, task.attempt, RETURNED)
 
     def stop(self, job_id: str, index: int, attempt: int, why: str) -> None:
-        """Stops a task in good order, and with it its gang; the reason is durable."""
+        """Requests an orderly stop of a task and its gang; the reason is stored."""
         self._store.change_job(
             job_id, partial(apply_stop, index=index, attempt=attempt, why=why), turn=Turn.WORK
         )
--- a/pulleydeal/workers/incarnation.py
+++ b/pulleydeal/workers/incarnation.py
@@ -1,10 +1,10 @@
-"""A machine that ended and is back, perhaps within a moment, without its tasks.
+"""Detects that a machine restarted without its tasks, perhaps within moments.
 
-PROTOCOL doesn't say whether it then counts its reports on or begins at 1 with no token. Within one
-life session, tally and token only grow, so a report that is older than what is known is a late
-copy, or the first of a new life; which of the two, no report tells. An answer to an order does: its
-tally is larger than that of every report made before the order was sent, unless the machine began
-anew.
+PROTOCOL does not say whether it then continues its report numbers or begins at 1 with no token.
+Until a restart, session, report number (`seq`) and token only grow. A check-in that is older than
+the known state is therefore either a delayed copy or the first after a restart, and nothing in it
+tells which. The answer to an order does: its number is larger than that of every report made before
+the order was sent, unless the machine restarted.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """The newest that was known of a machine when it was asked directly."""
+    """The newest state known of a machine when an order to it was sent."""
 
     session: int
     seq: int
@@ -28,10 +28,10 @@
 
 
 def doubtful(s: Station, report: m.Report, now: float) -> bool:
-    """A check-in that no present life of the machine may have made: it is asked directly, and
-    neither believed nor given commands.
+    """Whether a check-in may be a delayed copy or the first one after a restart.
 
-    A check-in that an order's answer has just overtaken is older too, and means nothing.
+    The machine is then probed; the check-in is neither applied nor answered with commands. An older
+    check-in that the answer to an order has just overtaken is normal.
     """
     if s.heard_at is None:
         return False
@@ -40,10 +40,10 @@
 
 
 def begins_anew(before: Known | None, report: m.Report) -> bool:
-    """Whether a direct answer comes from a later life than what was known when it was asked for.
+    """Whether the answer to an order shows that the machine restarted since `before` was known.
 
-    Such machines were taken for silent, as all they said was older than their life before, and
-    were given back (docs/incidents/machine-back-at-once.md).
+    Restarted machines were taken for silent, as all their reports were older than those before the
+    restart, and were returned to the cloud (docs/incidents/machine-back-at-once.md).
     """
     if before is None:
         return False
@@ -52,8 +52,11 @@
 
 
 def next_life(s: Station, inherited: set[tuple[str, int, int]], token: int, now: float) -> Station:
-    """As after a takeover: nothing counts before the machine holds a token above all that the
-    life before was given, so no order that is still under way can be executed after that."""
+    """The state of a machine after a restart, as after a takeover.
+
+    No report is trusted before the machine holds a token above all that it was given before the
+    restart; from then on no order that was sent before can be executed.
+    """
     new = Station(s.id, s.type, s.zone, s.spot, now, token, inherited)
     new.addr, new.fence, new.errors = s.addr, s.fence + 1, s.errors
     return new
--- a/pulleydeal/workers/keeping.py
+++ b/pulleydeal/workers/keeping.py
@@ -1,7 +1,7 @@
-"""Who may renew a machine's lease, what silence proves, and when a cancellation may be told.
+"""Policy: who may renew leases, what silence proves, and when a cancellation may be confirmed.
 
-The node is built with one of these. This is the plain form: only its owner renews a machine's
-lease, and a blind owner stops in time. `zones` puts its own in its place.
+Each node is built with one instance. In this default only the owner renews a machine's lease, and
+an owner with a stale copy of the state stops in time. The `zones` feature overrides it.
 """
 
 from pulleydeal.store.job import Job
@@ -9,7 +9,7 @@
 from pulleydeal.workers.reachability import Seen
 from pulleydeal.workers.station import Station
 
-# Why machines out of sight are given back, with all that is on them.
+# Reasons for returning machines of unreachable zones, with all that is on them.
 UNTOLD = "kept a cancelled job"
 DARK = "its zone is dark"
 EVACUATED = "its zone is cut off for long"
@@ -17,42 +17,44 @@
 
 
 class Keeping:
+    """The default policy; see the module."""
+
     def keeps(self, report: m.Report) -> bool:
-        """Whether the lease of a machine that is another's is renewed, without a command."""
+        """Whether to renew the lease of a machine that another node owns, without commands."""
         return False
 
     def bears_blindness(self, zone: str) -> bool:
-        """Whether this node, though blind, may answer machines of that zone that it owns."""
+        """Whether this node may renew its machines' leases in the zone with a stale state copy."""
         return False
 
     def alone(self, station: Station) -> bool:
-        """Whether nobody else can have renewed the machine's lease since it was last over."""
+        """Whether no other node can have renewed the lease, so that its expiry is a proof."""
         return True
 
     def others_see(self) -> list[Seen]:
-        """What the other owners see of the zones' machines, where it is not old."""
+        """Recent counts of silent machines per zone, one item for each other owner."""
         return []
 
     def watched_over(self) -> bool:
-        """Whether the fleet's lead decides what becomes of a zone that is out of sight."""
+        """Whether the fleet leader decides what happens to machines of unreachable zones."""
         return False
 
     def holds_back(self) -> bool:
-        """Whether a cancellation is first written down, and told when it can be kept."""
+        """Whether cancellations are stored first and confirmed only when they are sure to hold."""
         return False
 
     def may_tell(self, job: Job) -> bool:
-        """Whether a cancellation that was written down can be kept, whoever renews leases."""
+        """Whether a stored cancellation is sure to hold, whichever node renews leases."""
         return False
 
     async def comes_to_be_told(self, job: Job) -> bool:
-        """The same, after a moment in which the other nodes may answer."""
+        """Like `may_tell`, after giving the other nodes a moment to answer."""
         return False
 
     def owed(self) -> dict[str, str]:
-        """Machines out of sight that are to be given back, each with the reason."""
+        """Unreachable machines that are to be returned, each with the reason."""
         return {}
 
     def distrusted(self) -> set[str]:
-        """Zones that came back so lately that nothing is rented there yet."""
+        """Zones that became reachable so recently that nothing is rented there yet."""
         return set()
--- a/pulleydeal/workers/messages.py
+++ b/pulleydeal/workers/messages.py
@@ -1,4 +1,7 @@
-"""The workers' wire forms (PROTOCOL: block, shift, tally, whistle, lifts, pull, calls)."""
+"""Wire format of the worker protocol.
+
+PROTOCOL calls the fields block, shift, tally, whistle, lifts, pull and calls.
+"""
 
 from typing import Annotated, Any, Literal
 
@@ -10,8 +13,8 @@
 
 Count = Annotated[int, Meta(ge=0)]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
-Name = Annotated[str, Meta(min_length=1, max_length=100)]  # as long as settings allow
-# A longer id would make a full chunk of bindings larger than the state service takes.
+Name = Annotated[str, Meta(min_length=1, max_length=100)]  # same limit as in the settings
+# With longer ids a full chunk of bindings would exceed the state service's value size.
 MachineId = Annotated[str, Meta(pattern=rf"^[A-Za-z0-9._-]{{1,{c.MACHINE_CHARS}}}$")]
 STATES = {
     "fetching": "fetching",
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -1,4 +1,4 @@
-"""Sends commands straight to machines, and says what may still come of an unanswered one."""
+"""Sends orders to machines directly, and tracks the starts whose outcome is uncertain."""
 
 import asyncio
 from typing import Protocol
@@ -15,7 +15,7 @@
 
 
 class _Lapsed(Exception):
-    """The order was not sent, nor will be."""
+    """The order was withdrawn: not sent, and never will be."""
 
     def __init__(self, why: Lapse) -> None:
         super().__init__(why.value)
@@ -23,32 +23,32 @@
 
 
 class OrderOwner(Protocol):
-    """The part of the node that decides about machines."""
+    """What `Orders` needs of the code that plans the orders."""
 
     def token(self, station: Station) -> int:
-        """With which the machine is commanded at this moment."""
+        """The token for commands to the machine at this moment."""
 
     def lapse(self, order: Order) -> Lapse | None:
-        """Why the order may not be sent any more; None: it may."""
+        """Why the order must not be sent any more; None: it may be sent."""
 
     def is_sent(self, order: Order, waited_s: float) -> None:
-        """Called as its first byte is about to be written."""
+        """Called right before the first byte of the order is written."""
 
     def withdrawn(self, order: Order, why: Lapse, waited_s: float) -> None:
-        """It was never sent, nor will be."""
+        """Called when the order was withdrawn: it was not sent and never will be."""
 
     def finished(self, order: Order, result: OrderResult) -> None:
-        """It was sent; called before anything is concluded from the result."""
+        """Called with the result of sending, before anything is concluded from it."""
 
     def reported(self, station: Station, report: m.Report, before: Known | None) -> None:
-        """A report came back; `before`: what was known as it was asked for."""
+        """Called with the report in an answer; `before`: the state known when it was asked for."""
 
     def reachability_changed(self, machine: str) -> None:
-        """The machine begins or ceases to answer."""
+        """Called when the machine starts or stops answering."""
 
 
 class Orders:
-    """At most one order to a machine at a time, and a bounded number to all."""
+    """Sends orders: at most one to a machine at a time, and a bounded number in total."""
 
     def __init__(self, clock: Clock, owner: OrderOwner) -> None:
         self._clock = clock
@@ -59,7 +59,7 @@
         self._background = Background("a worker exchange failed")
 
     def drop(self, addr: str) -> None:
-        """The machine at that address is no concern of ours any more."""
+        """Closes the connections to an address that no longer belongs to an owned machine."""
         client = self._clients.pop(addr, None)
         if client is not None:
             client.close()
@@ -85,7 +85,7 @@
             self._withdraw(order, lapsed.why)
             return
         finally:
-            # Before the answer is taken in, which may give the machine its next order.
+            # Reset before the answer is processed, which may send the machine its next order.
             order.station.busy = False
         self._owner.finished(order, result)
         self._conclude(order, result)
@@ -93,17 +93,20 @@
             self._owner.reported(order.station, result.report, before)
 
     async def _in_its_turn(self, order: Order) -> tuple[OrderResult, Known | None]:
-        """What came of the order, and what was known before it. Raises _Lapsed."""
-        # Machines that don't answer are mostly probed: they must not hold up others' orders.
+        """Waits for a slot and sends the order; returns its result and the state known before.
+
+        Raises _Lapsed if the order is withdrawn.
+        """
+        # Unresponsive machines mostly get probes, which must not delay orders to other machines.
         slots = self._orders if order.calls else self._probes
         try:
-            # A probe starts nothing; it is only asked whether it is still of use.
+            # A probe may wait for any time, as it starts nothing.
             async with asyncio.timeout(c.ORDER_QUEUE_MOST_S if order.calls else None):
                 await slots.acquire()
         except TimeoutError:
             raise _Lapsed(Lapse.QUEUE) from None
         try:
-            # Before a client for it is made: the address may be nobody's concern any more.
+            # Checked before a client is created: the machine may no longer be owned.
             why = self._owner.lapse(order)
             if why is not None:
                 raise _Lapsed(why)
@@ -118,13 +121,13 @@
         station = order.station
         patience_s = c.ORDERS_TIMEOUT_S if order.calls else c.PROBE_TIMEOUT_S
         body = m.orders(order.right.token, order.right.session, order.calls)
-        # What is known now: a machine that answers with less than that has begun anew.
+        # Taken before sending: a machine that answers with an older state has restarted.
         before = known(station)
         lapsed: list[Lapse] = []
 
         def still_wanted() -> bool:
-            # The order waited, for its turn and for a connection. Whoever owns the machine by now
-            # may have asked it and concluded that the task never came up.
+            # Checked again, as the order waited for a slot and a connection: a new owner may have
+            # asked the machine since and concluded that the task never started.
             why = self._owner.lapse(order)
             if why is not None:
                 lapsed.append(why)
@@ -149,11 +152,11 @@
         self._owner.withdrawn(order, why, self._waited_s(order))
 
     def _conclude(self, order: Order, result: OrderResult) -> None:
-        """What the result says of the machine, and of the starts that the order carried."""
+        """Updates the state of the machine, and of the starts in the order, from the result."""
         self._note_reachable(order.station, result)
         if result.is_elsewhere:
-            # Orders name no machine: whoever has the address would carry them out. Its own next
-            # check-in says where it is.
+            # Orders do not name their machine: any machine at the address would execute them. The
+            # machine's next check-in gives its new address.
             self.drop(order.station.addr)
             order.station.addr = ""
         match result.outcome:
@@ -176,8 +179,11 @@
         self._owner.reachability_changed(station.id)
 
     def _unsettle(self, order: Order, executed: bool) -> None:
-        """`executed`: the starts may have been, or may be much later. Nothing is concluded of them
-        then until a report shows a token with which the order would be refused."""
+        """Handles the starts of an order that was not confirmed.
+
+        `executed`: whether they may have been executed, or may be much later. Then nothing is
+        concluded about them until a report shows a token with which the order would be refused.
+        """
         station = order.station
         if not executed:
             for start in order.runs:
--- a/pulleydeal/workers/outcomes.py
+++ b/pulleydeal/workers/outcomes.py
@@ -1,7 +1,7 @@
-"""What the answer to an order proves about the commands that it carried.
+"""Determines from the answer to an order whether its commands were executed.
 
-A status proves nothing by itself. Only an answer with this machine's own report, one that agrees
-with the status, is believed; after any other the commands may have been executed
+A status alone proves nothing. An answer is valid only if it contains this machine's own report and
+the report agrees with the status; after any other answer the commands may have been executed
 (docs/incidents/answers-not-understood.md).
 """
 
@@ -17,20 +17,23 @@
 
 
 class Outcome(StrEnum):
-    """What is known of an order's commands."""
+    """What is known about the execution of an order's commands."""
 
     EXECUTED = "executed"
-    REFUSED = "refused"  # nothing was executed, nor will be
-    NOT_SENT = "not sent"  # likewise: no connection was made
-    UNANSWERED = "unanswered"  # they may have been executed, or may still be
-    NOT_UNDERSTOOD = "not understood"  # likewise, whatever the status was
+    REFUSED = "refused"  # nothing was or will be executed
+    NOT_SENT = "not sent"  # nothing was or will be executed: no connection was made
+    UNANSWERED = "unanswered"  # they may have been executed, or may be later
+    NOT_UNDERSTOOD = "not understood"  # the same, whatever the status was
 
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """`report`: the machine's own, if one came, whatever the outcome. `reason`: why nothing is
-    known, or why the order was not sent; the same words for the same cause. `is_elsewhere`: another
-    machine has the address by now."""
+    """The outcome of an order.
+
+    `report`: the machine's own report, if the answer had one. `reason`: why the outcome is unknown
+    or the order was not sent; equal causes give equal texts, as they are counted by text.
+    `is_elsewhere`: another machine answers at the address.
+    """
 
     outcome: Outcome
     report: m.Report | None = None
@@ -39,12 +42,12 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the machine is reached, whatever it says."""
+        """Whether an answer came, valid or not."""
         return self.outcome not in (Outcome.NOT_SENT, Outcome.UNANSWERED)
 
 
 def read_answer(order: Order, status: int, body: bytes) -> OrderResult:
-    """What an order's answer proves."""
+    """Derives the result of an order from the status and body of its answer."""
     if status not in (EXECUTED_STATUS, REFUSED_STATUS):
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=f"status {status}")
     try:
--- a/pulleydeal/workers/reachability.py
+++ b/pulleydeal/workers/reachability.py
@@ -1,4 +1,4 @@
-"""Which machines, and zones, an owner hears nothing of, and what it gives back for that."""
+"""Detects silent machines and unreachable zones, and which machines to return for that."""
 
 from collections.abc import Sequence
 
@@ -7,25 +7,28 @@
 
 
 def silent_s(s: Station, now: float) -> float:
+    """Seconds since the last report of any kind, or since the machine is owned."""
     return now - max(s.since, s.heard_at if s.heard_at is not None else s.since)
 
 
 def unsignalled_s(s: Station, now: float) -> float:
-    """For how long its own check-ins stay out, whether or not it answers when it is asked.
+    """Seconds since the last check-in, or since the machine is owned.
 
-    Only a check-in's answer renews a lease. A machine that reaches nobody answered orders, gave
-    credit, and lost what was started there with each lease.
+    Answers to orders do not count, as only the answer to a check-in renews the lease. A machine
+    that could reach no node still answered orders and gave credit, so tasks were started there and
+    lost with each lease.
     """
     return now - max(s.since, s.checkin_at if s.checkin_at is not None else s.since)
 
 
-Seen = dict[str, tuple[int, int]]  # zone -> how many of one's machines are quiet, and known
+Seen = dict[str, tuple[int, int]]  # zone -> an owner's silent machines there, and known ones
 
 
 def seen(stations: list[Station], now: float, report_s: float) -> Seen:
-    """Quiet is who has to be asked directly, well before anything is given back.
+    """Counts the silent and the known machines of each zone.
 
-    Of a machine that was taken over a moment ago nothing is known yet.
+    Silent here means long enough to be probed, well before a machine is returned. A machine that
+    was taken over a moment ago and has not reported yet is not counted.
     """
     quiet_since = now - c.PROBE_REPORTS * report_s
     found: Seen = {}
@@ -40,11 +43,12 @@
 def unseen_zones(
     stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
 ) -> set[str]:
-    """Zones most of whose machines are quiet at once: cut off, as machines die one by one.
+    """Zones taken for cut off, as more machines are silent at once than fail independently.
 
-    Silence comes machine by machine: by the time that the first was given back the share of those
-    to be given back was still small, so cut zones were thrown away. `others`: what other owners
-    see; an owner of two machines of a zone can't tell a cut from two dead machines alone.
+    The limit is on machines silent long enough to be probed. Machines fall silent one after the
+    other, so when the first was due to be returned only few others were due, and whole zones behind
+    a network partition were returned. `others`: the counts of other owners; an owner of two
+    machines in a zone cannot tell a partition from two dead machines.
     """
     mine = seen(stations, now, report_s)
     found = set()
@@ -59,9 +63,9 @@
 def out_of_sight(
     stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
 ) -> set[str]:
-    """The same, but none when it is all of them: that is trouble of our own, and others see.
+    """Like `unseen_zones`, but empty if it is all zones: then this node itself is cut off.
 
-    Who owns no machine, as it handed them over, goes by the others.
+    A node that owns no machines uses the zones that other owners know.
     """
     unseen = unseen_zones(stations, now, report_s, others)
     known = {s.zone for s in stations} or set[str]().union(*others)
@@ -77,24 +81,25 @@
     others: Sequence[Seen] = (),
     watched_over: bool = False,
 ) -> list[Station]:
-    """Machines to be given back for their silence.
+    """Machines to be returned for their silence.
 
-    `unseen_at`: zone -> when it was last out of sight; kept here. When a zone comes back, its
-    machines are heard one by one, and each has its full time again from then on. `watched_over`:
-    what becomes of the others is the fleet lead's to decide, who knows what each owner sees.
+    `unseen_at`: zone -> when most of its machines were last silent; updated here. After that moment
+    each of its machines gets the full time again, as they report one after the other.
+    `watched_over`: the fleet leader, which knows what every owner sees, decides about machines of
+    silent zones, so none of them is included here.
     """
     unseen = unseen_zones(stations, now, report_s, others)
     long_s = c.SILENT_RETURN_REPORTS * report_s
     quiet_s = c.PROBE_REPORTS * report_s
     if all(s.zone in unseen for s in stations):
-        # Nothing is seen at all: it is we who are cut off. Kept for long, these machines were
-        # nobody's meanwhile, and fewer services were up (0.87 to 0.76 on a day with such a cut);
-        # nor is the share asked of those that are merely quiet, as what goes back before it is
-        # reached starts elsewhere the sooner.
+        # All machines are in silent zones, so this node itself is cut off. Keeping the machines for
+        # long left them unused, and fewer services were up (0.76 instead of 0.87 in a run with such
+        # a partition). The share below counts only machines silent for `long_s` here: work on those
+        # returned before the share is reached starts elsewhere sooner.
         unseen, quiet_s = set(), long_s
     unseen_at |= dict.fromkeys(unseen, now)
     quiet = sum(silent_s(s, now) > quiet_s for s in stations)
-    # Many at once look like trouble of our own: then only the lease decides.
+    # Many silent machines suggest a fault of this node: then the limit is the lease time.
     suspect = quiet > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
     usual = lease_s if suspect else long_s
     found = []
@@ -112,14 +117,14 @@
 def one_way_for_long(
     stations: list[Station], now: float, report_s: float, lease_s: float
 ) -> list[str]:
-    """Machines to be given back as they report, but no order reaches them, or answer orders, but
-    reach no controller.
-
-    Nothing lives on them, as no answer renews their leases; but after a change of owners deaf ones
-    never hold the token that would prove it, and their tasks were bound for as long as they heard
-    nothing; mute ones were paid for and counted as room. Many at once look like trouble of our
-    own, which passes; more than a few mute ones like trouble of the network's, after which they
-    still have their images.
+    """Machines to be returned as they are reachable in one direction only.
+
+    Deaf machines check in, but no order or answer reaches them; mute ones answer orders, but reach
+    no controller. No task survives there, as their leases are not renewed. But a deaf machine never
+    gets a new owner's token, which would prove that, so its tasks stayed bound all the time; mute
+    ones were paid for and counted as capacity. Many deaf ones at once suggest a fault of this node,
+    which passes; more than a few mute ones suggest a network fault, after which they still have
+    their images. Such machines are kept longer.
     """
     quiet_s = c.PROBE_REPORTS * report_s
     deaf = [
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -1,4 +1,4 @@
-"""Answers check-ins, gives orders, and turns proof that a task is gone into durable facts."""
+"""Answers worker check-ins, sends orders, and records task exits durably once they are proved."""
 
 import asyncio
 import logging
@@ -45,7 +45,7 @@
 
 
 def _nothing(_machine: str) -> None:
-    """Before anybody listens."""
+    """Default for `Workers.changed`, until a listener is set."""
 
 
 def _exited(entries: dict[TaskId, Entry]) -> set[TaskId]:
@@ -53,6 +53,8 @@
 
 
 class Workers:
+    """Owner-side handling of the worker machines that this node owns."""
+
     def __init__(
         self,
         membership: Membership,
@@ -70,7 +72,7 @@
         self._clock = clock
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._epoch = 0  # the last view by which machines were taken and given up
+        self._epoch = 0  # epoch of the view that ownership was last updated to
         self.stations = stations
         self._keeping = keeping
         self._decisions = DecisionLog(membership, store, clock, metrics)
@@ -88,25 +90,26 @@
             lambda machine: self.changed(machine),
         )
         self._adopting = Adopting(store, clock)
-        self._background = Background("a worker exchange failed")
+        self._background = Background("registering a machine failed")
         self._dirty: set[str] = set()
         self._wake = asyncio.Event()
-        # A blind node must be silent early enough that leases end within cancel_s.
+        # Oldest state copy with which leases may be renewed: a node cut off from the state service
+        # must stop renewing early enough that leases expire within cancel_s.
         self._blind_limit_s = max(
             2.0, (times.cancel_s - times.lease_s) * (1 - c.CLOCK_DRIFT) - c.RENEW_MARGIN_S
         )
-        # Machines whose last report names a task of the job: found without asking each one.
+        # Job -> machines whose last report names one of its tasks.
         self._reported: dict[str, set[str]] = {}
-        self._looked_at = -1e9  # when all machines were last looked at
-        # Called with a machine whose credit may have changed.
+        self._looked_at = -1e9  # steady time of the last round over all owned machines
+        # Called with the id of a machine whose credit may have changed.
         self.changed: Callable[[str], None] = _nothing
         store.replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "job":
             job = self._replica.jobs.get(name)
-            # A gang's members hang together, and a job's end concerns all its tasks; of any
-            # other change the machines concerned are told one by one ("bound").
+            # A change of a gang, or the end of any job, affects all its tasks. For other changes
+            # a "bound" event names each affected machine.
             if job is not None and (not job.is_open or (job.spec and job.spec.kind == "gang")):
                 for machine in {task.machine for _, task in job.bindings()}:
                     self._touch(machine)
@@ -122,14 +125,14 @@
         self._wake.set()
 
     def _touch(self, machine: str) -> None:
-        """What a plan for the machine is made from has changed."""
+        """Marks a machine for planning, because an input of its plan has changed."""
         self._dirty.add(machine)
         station = self.stations.get(machine)
         if station is not None:
             station.settled = False
 
     def _own(self) -> None:
-        """Takes and gives up machines as the view says."""
+        """Starts and stops tracking machines according to the current view."""
         token = views.token(self._membership.epoch, 0)
         now = self._clock.now()
         skipped = self._membership.epoch > self._epoch + 1
@@ -139,7 +142,7 @@
         self._decisions.write(Decision(Action.LEAD, f"members {members}", allowed=is_member))
         with self._lock:
             if skipped:
-                # Machines may have been another's in a view that was never looked at here.
+                # Another node may have owned them in a view that this node never processed.
                 self.stations.clear()
                 self._reported.clear()
             for machine, station in list(self.stations.items()):
@@ -156,7 +159,10 @@
             self._touch(machine)
 
     def _drop(self, machine: str) -> None:
-        """Gives a machine up: another's now, or given back, which is asked in vain if it stays."""
+        """Stops tracking a machine that has another owner or was returned to the cloud.
+
+        A returned machine would otherwise be probed in vain.
+        """
         station = self.stations.pop(machine, None)
         if station is not None:
             self._index(machine, station.entries, {})
@@ -171,8 +177,11 @@
         return station
 
     def _first_heard(self, report: m.Report, fence: int) -> Station:
-        """Of a machine without a record an old report may come, minutes after it was given back:
-        only a token that it was not given before proves that it is there (`fence`)."""
+        """Starts tracking a machine at its first report to this node.
+
+        `fence`: 1 if the machine has no record. Its report may have been delayed since before the
+        machine was returned, so only a token that it never had before proves that it still exists.
+        """
         token, now = views.token(self._membership.epoch, fence), self._clock.now()
         kind = (report.type, report.zone, report.spot)
         with self._lock:
@@ -181,7 +190,8 @@
         return station
 
     def _bound(self, machine: str) -> set[Start]:
-        """What an earlier owner, or an earlier life of the machine, may have started."""
+        """Bindings that an earlier owner may have started, or this node before a restart of the
+        machine."""
         bound = self._replica.bound.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
@@ -215,7 +225,7 @@
         if station is None:
             station = self._first_heard(report, fence=int(record is None))
         if report.token > self.commanding.token(station):
-            # Somebody newer commands this machine: our view is old, or will soon be.
+            # An owner with a newer view commands the machine; this node's view is outdated.
             return answer(421, m.redirect(""))
         if incarnation.doubtful(station, report, self._clock.now()):
             self.commanding.probe(station)
@@ -238,9 +248,10 @@
         station.answered_at = self._clock.now()
 
     def _may_renew(self, zone: str) -> bool:
-        """Nobody may keep a machine's tasks alive who can't hear of a cancellation.
+        """Whether this node knows of cancellations recently enough to renew leases in the zone.
 
-        When its copy was current or the others were asked counts, not when they answered.
+        Otherwise it might keep a cancelled task alive. What counts is when its copy was current or
+        when the other members were asked, not when their answers arrived.
         """
         limit_s, now = self._blind_limit_s, self._clock.now()
         return (
@@ -265,7 +276,7 @@
         if not checkin or (progressed and _exited(before) != _exited(station.entries)):
             self._dirty.add(station.id)
             self._wake.set()
-        # Most reports say nothing new: a credit renewed for each would cost a core.
+        # Most reports contain no change; recomputing the credit for each would use a whole core.
         stands = (station.trusted, station.notice_at is None, self.silent(station))
         if progressed or stood != stands:
             self.changed(station.id)
@@ -284,7 +295,11 @@
 
     # --- planning -------------------------------------------------------------------------
     def _is_settled(self, station: Station, now: float) -> bool:
-        """A cancellation that only a sibling's beat told changes a plan without touching it."""
+        """Whether planning can be skipped, as the plan would be empty.
+
+        Cancellations known only from another node's heartbeat mark no machine as changed, so
+        nothing is skipped while there are any.
+        """
         relayed = self._membership.relayed_cancels()
         return not relayed and is_settled(station, now, self._times.lease_s)
 
@@ -302,9 +317,9 @@
                 self.ends.pending,
             )
             if station.busy:
-                # An order is under way, perhaps for seconds: nothing is started beside it, nor
-                # cleared. A kill can be repeated; orders that hung had kept kills from a machine
-                # whose lease went on being renewed.
+                # Nothing is started or cleared while an order is in flight, which may take
+                # seconds. Kills can be repeated safely and are kept: orders that hung used to hold
+                # them back from machines whose leases went on being renewed.
                 plan.calls = [call for call in plan.calls if call["call"] == "kill"]
                 plan.runs = []
         for gone in plan.exits:
@@ -312,13 +327,13 @@
         return plan
 
     def _replan(self, machine: str) -> None:
-        """An end there was written or given up, or an order was not sent."""
+        """Plans the machine again: an exit was written or dropped, or an order was not sent."""
         self._touch(machine)
         self._wake.set()
 
     # --- direct orders ----------------------------------------------------------------------
     async def work(self) -> None:
-        """One round: whatever changed is reconciled, and said at once where that helps."""
+        """One round: reconciles the machines that changed and sends urgent commands directly."""
         try:
             async with asyncio.timeout(c.LOOK_ROUND_S):
                 await self._wake.wait()
@@ -327,7 +342,7 @@
         self._wake.clear()
         now = self._clock.now()
         if now - self._looked_at >= c.LOOK_ROUND_S:
-            # Leases run out and kills are repeated though nothing changes.
+            # Leases expire and kills are repeated without any change that marks the machine.
             self._looked_at = now
             self._dirty.update(self.stations)
         dirty, self._dirty = self._dirty, set()
@@ -340,7 +355,8 @@
         if not self._membership.is_member:
             return
         if not station.trusted:
-            # After a takeover, also if an old report came: raise the token and get a new one.
+            # After a takeover, even if an old report arrived: the probe gives the machine the new
+            # token and returns a new report.
             self.commanding.probe(station)
             return
         if not station.addr or silent_s(station, self._clock.now()) > self._times.lease_s:
@@ -348,8 +364,8 @@
             return
         plan = self._plan(station)
         if station.is_misunderstood:
-            # What it does with an order can't be told: the answers to its check-ins carry the
-            # commands, until it answers a probe as it should.
+            # The effect of orders on this machine is unknown. Answers to its check-ins carry the
+            # commands until it answers a probe correctly.
             forget_kills(station, plan.calls)
             return
         urgent = [call for call in plan.calls if call["call"] != "clear"]
@@ -366,7 +382,7 @@
         if self.stations.get(station.id) is not station:
             return
         if incarnation.begins_anew(before, report):
-            log.info("machine %s is back without its tasks", station.id)
+            log.info("machine %s restarted without its tasks", station.id)
             token = views.token(self._membership.epoch, station.fence + 1)
             new = incarnation.next_life(station, self._bound(station.id), token, self._clock.now())
             with self._lock:
@@ -375,4 +391,4 @@
             station = new
         self._take(station, report, checkin=False)
         if not station.trusted:
-            self.commanding.probe(station)  # raises its token
+            self.commanding.probe(station)  # gives it the new token
--- a/pulleydeal/workers/station.py
+++ b/pulleydeal/workers/station.py
@@ -1,6 +1,6 @@
-"""What the owner of a machine knows of it, and what it concludes from that.
+"""The owner's state of one machine, and the planning of commands and exits from it.
 
-Everything here is a plain function of state and time; nothing is sent from here.
+Functions here depend only on their arguments, including the time, and do no I/O.
 """
 
 from collections import Counter
@@ -18,6 +18,8 @@
 
 @dataclass(slots=True)
 class Entry:
+    """A task as the machine last reported it."""
+
     attempt: int
     state: str
     why: str = ""
@@ -26,57 +28,64 @@
 
 @dataclass(slots=True)
 class Sent:
-    """A `run` whose effect has not shown in a report yet."""
+    """A `run` command that was sent, and what would prove its outcome.
+
+    Once `settled`, a report without the task proves that it does not run.
+    """
 
     session: int
-    after_seq: int  # settled by a check-in later than this (sent in a check-in's answer)
-    fence: int | None = None  # settled once the machine holds this token (order unanswered)
-    direct: bool = False  # an order in flight: nothing is known before it is answered
+    after_seq: int  # sent in a check-in's answer: settled by a later check-in than this
+    fence: int | None = None  # order unanswered: settled once the machine holds this token
+    direct: bool = False  # its order is in flight: the outcome is unknown until it ends
     settled: bool = False
 
 
 @dataclass(slots=True)
 class Exit:
+    """The end of one attempt of a task, to be recorded durably."""
+
     job: str
     index: int
     attempt: int
     machine: str
     outcome: str  # done, error, saved, stopped, lost, refused, ...
     detail: str
-    # Concluded from the task's absence: holds only for the owner that saw it, in that tenure. What
-    # the machine itself reported of an attempt holds for ever.
+    # Concluded from the task's absence: valid only while the same owner keeps the machine. An exit
+    # that the machine itself reported stays valid.
     by_absence: bool = False
 
 
 @dataclass(slots=True)
 class Wanted:
-    """One binding as the state service has it."""
+    """A task bound to the machine in the stored state."""
 
     task: Task
     spec: JobSpec
-    over: str = ""  # why no task of this attempt may run any more
+    over: str = ""  # reason why no task of this attempt may run any more; empty: it may
 
 
 @dataclass(slots=True)
 class Station:
+    """What this node knows of a machine, for as long as it owns it without a break."""
+
     id: str
     type: str
     zone: str
     spot: bool
-    since: float  # steady time from which this node has owned the machine without a break
-    floor: int  # token at that time: a report that holds it was made after the takeover
+    since: float  # steady time from which this node has owned the machine
+    floor: int  # lowest token that proves a report was made after the takeover
     inherited: set[Start]  # bindings that an earlier owner may have started
     addr: str = ""
     fence: int = 0
     session: int = 0
     seq: int = 0
     seen_token: int = 0
-    token_at: float = 0.0  # steady time at which a token of that epoch was first reported
-    session_at: float = -1e9  # steady time at which that session was first heard of
-    notice_at: float | None = None  # steady time at which the cloud takes the machine
+    token_at: float = 0.0  # steady time at which a token of the current epoch was first reported
+    session_at: float = -1e9  # steady time at which the current session was first reported
+    notice_at: float | None = None  # steady time at which the cloud reclaims the spot machine
     heard_at: float | None = None  # steady time of the last report of any kind
-    checkin_at: float | None = None  # steady time of the last check-in that was news
-    mute_since: float | None = None  # it has answered orders from then on, and not checked in
+    checkin_at: float | None = None  # steady time of the last check-in that was not outdated
+    mute_since: float | None = None  # since then it has answered orders but not checked in
     answered_at: float | None = None  # steady time of the last check-in answered with 200
     entries: dict[TaskId, Entry] = field(default_factory=dict)
     sent: dict[Start, Sent] = field(default_factory=dict)
@@ -84,16 +93,16 @@
     killed_at: dict[tuple[Start, bool], float] = field(default_factory=dict)
     errors: list[tuple[float, Start]] = field(default_factory=list)
     busy: bool = False  # a direct order is in flight
-    unanswered_since: float | None = None  # orders get no answer from then on; None: the last did
-    is_misunderstood: bool = False  # the last order's answer was not understood
-    wrong_answers: Counter[str] = field(default_factory=Counter)  # to orders, by what was wrong
-    reported: list[m.ReportedTask] = field(default_factory=list)  # as in the last report taken in
-    # The last full plan found nothing to do, and nothing that it was made from has changed since.
+    unanswered_since: float | None = None  # orders get no answer since then; None: the last one did
+    is_misunderstood: bool = False  # the answer to the last order was not valid
+    wrong_answers: Counter[str] = field(default_factory=Counter)  # invalid ones, by reason
+    reported: list[m.ReportedTask] = field(default_factory=list)  # of the last accepted report
+    # The last plan was empty, and none of its inputs has changed since.
     settled: bool = False
 
     @property
     def trusted(self) -> bool:
-        """Its reports are newer than anything an earlier owner can still have executed."""
+        """Whether its reports show the effect of every command of earlier owners."""
         return self.heard_at is not None and self.seen_token >= self.floor
 
     def raise_fence(self) -> None:
@@ -101,7 +110,7 @@
 
 
 def absorb(s: Station, report: m.Report, now: float, checkin: bool) -> bool:
-    """Takes a report in. False: it is older than what is known, so its content is ignored."""
+    """Applies a report. False: it is not newer than the last one, so it is ignored."""
     if (report.session, report.seq) <= (s.session, s.seq):
         return False
     new_session = report.session > s.session
@@ -123,7 +132,7 @@
     for start, sent in s.sent.items():
         if sent.settled:
             continue
-        # An order for an earlier session gets 409 whenever it arrives.
+        # An order for an earlier session is refused (409) whenever it arrives.
         if (
             (new_session and sent.session < report.session and not sent.direct)
             or (sent.fence is not None and report.token >= sent.fence)
@@ -137,7 +146,7 @@
 
 
 def _take_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
-    """Most reports name the same tasks in the same states as the one before: only others cost."""
+    """Replaces the task states. Called only if they changed, as most reports repeat the last."""
     s.reported = tasks
     s.settled = False
     s.entries = {}
@@ -152,13 +161,16 @@
 
 
 def lease_over(s: Station, now: float, lease_s: float) -> bool:
-    """The worker must have killed everything: we alone could renew, and did not.
-
-    Only valid for an owner that itself answered: an earlier one may renew in a cut zone. And only
-    from when the machine was known to hold our token: an earlier owner with an older picture had
-    renewed it after our first answer, which was lost (docs/incidents/older-owner.md). And only
-    from when its session was first heard of: a new one begins with a whole lease, and what was
-    started in it by an order was taken for lost at once (docs/incidents/new-session.md).
+    """Whether the lease must have expired, so that the worker has killed all its tasks.
+
+    The machine must hold this owner's token, and this owner must have answered a check-in itself:
+    otherwise an earlier one may still renew the lease in a partitioned zone. The lease counts from
+    the latest of three times:
+    - this owner's last answer, which renewed it;
+    - the first report with a token of the current epoch: an earlier owner with an older view had
+      renewed the lease after this owner's first answer was lost (docs/incidents/older-owner.md);
+    - the first report of the session: a new session begins with a full lease, and tasks started in
+      it by an order were declared lost at once (docs/incidents/new-session.md).
     """
     if s.answered_at is None or not s.trusted:
         return False
@@ -170,21 +182,23 @@
 
 @dataclass(slots=True)
 class Plan:
+    """What to do about one machine: commands to send and exits to record."""
+
     calls: list[dict[str, Any]] = field(default_factory=list)
     runs: list[Start] = field(default_factory=list)
     exits: list[Exit] = field(default_factory=list)
-    repeats: bool = False  # a kill was given a moment ago and is due again later
+    repeats: bool = False  # must be planned again even if nothing changes
 
     @property
     def is_empty(self) -> bool:
-        """Nothing to say, to write down, or to come back to though nothing changes."""
+        """Nothing to send, to record or to plan again later."""
         return not (self.calls or self.runs or self.exits or self.repeats)
 
 
 def is_settled(s: Station, now: float, lease_s: float) -> bool:
-    """Whether a new plan would be as empty as the last one.
+    """Whether a new plan would be empty too.
 
-    Only time can change it then, and time only ends a lease.
+    With unchanged inputs only the expiry of the lease can change the plan.
     """
     return s.settled and s.trusted and not lease_over(s, now, lease_s)
 
@@ -197,13 +211,13 @@
     alone: Callable[[], bool] = lambda: True,
     ending: Collection[Start] = (),
 ) -> Plan:
-    """Compares what is bound with what the machine reports.
+    """Plans commands and exits by comparing the bindings with the machine's report.
 
-    `alone`: whether nobody else can have renewed the machine's lease. `ending`: attempts whose end
-    was concluded and is still being written.
+    `alone`: whether no other node can have renewed the machine's lease. `ending`: attempts whose
+    exit was decided and is still being written.
     """
     plan = Plan()
-    s.settled = False  # before trust and after a lease an empty plan says nothing of the next
+    s.settled = False  # an empty plan without trust or after the lease does not predict the next
     if lease_over(s, now, lease_s):
         if not alone():
             return plan
@@ -224,11 +238,11 @@
         if entry.state != "exited":
             _kill(s, start, 0.0, now, plan)
         elif sent is None or sent.settled:
-            # Unbound by a durable change, and no order with its `run` can still arrive.
+            # Unbound durably, and no `run` for it can still arrive.
             plan.calls.append(m.clear(*start))
     for start in [k for k in s.sent if k[:2] not in wanted and s.sent[k].settled]:
         del s.sent[start]
-    # A start that is still on its way, or an order, changes a plan when its outcome is known.
+    # The outcome of an order or a start in flight will change the plan.
     on_its_way = s.busy or not all(sent.settled for sent in s.sent.values())
     s.settled = plan.is_empty and not on_its_way
     return plan
@@ -242,7 +256,7 @@
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
             outcome = _outcome(entry)
-            # A machine only says that it was told to stop; users and operators hear why.
+            # The machine only reports that it was stopped; users and operators see why.
             ordered = entry.why in ("stopped", "peers") and want.over
             detail = want.task.stop or ordered or entry.why
             plan.exits.append(Exit(job, index, attempt, s.id, outcome, detail))
@@ -252,22 +266,22 @@
             _kill(s, start, want.spec.save_s + 1.0, now, plan)
         return
     if entry is not None and entry.state != "exited":
-        return  # another attempt is still there; it is being killed
+        return  # another attempt still runs here; `reconcile` kills it
     sent = s.sent.get(start)
     if sent is not None and not sent.settled:
         return
     if sent is not None or start in s.inherited or start in s.seen:
-        # Absent from a report made after its run could last take effect: it is gone.
+        # Absent from a report made after the last moment at which its `run` could take effect.
         why = "never came up" if start not in s.seen else "vanished: the machine lost its lease"
         plan.exits.append(_absent(start, s, "lost", want.task.stop or why))
     elif start in ending:
-        # Its end was concluded from its never having been sent, and waits for its turn to be
-        # written: sent now, it would run here while it is started elsewhere.
+        # The exit was decided because the start was never sent, and waits to be written. If the
+        # start were sent now, the task would run here and be started elsewhere as well.
         plan.repeats = True
     elif want.over or want.task.stop:
         plan.exits.append(_absent(start, s, "stopped", want.task.stop or want.over))
     elif s.unanswered_since is not None and now - s.unanswered_since > c.UNREACHED_S:
-        # No command that carries this start was ever sent.
+        # No command with this start was ever sent.
         plan.exits.append(_absent(start, s, "lost", "its machine hears no order"))
     else:
         plan.calls.append(m.run(*start))
@@ -299,22 +313,22 @@
 
 
 def forget_kills(s: Station, calls: list[dict[str, Any]]) -> None:
-    """These were never sent: a kill among them is due at once, not after a pause."""
+    """Makes kills among these unsent commands due at once, instead of after `KILL_REPEAT_S`."""
     for call in calls:
         if call["call"] == "kill":
             start = (*m.split_task(call["lift"]), call["pull"])
             s.killed_at.pop((start, call["ease_s"] > 0), None)
 
 
-Blame = Literal["job", "machine", "open"]  # who is to blame for a failure, as far as is known
+Blame = Literal["job", "machine", "open"]  # the known cause of a failure; "open": not known yet
 
 
 def is_sick(s: Station, now: float, blame: Callable[[str, int], Blame]) -> bool:
-    """Whether the machine is to blame for what failed on it lately.
+    """Whether the machine caused the task failures seen on it lately.
 
-    `blame`: of a job that failed so often here. Two jobs submitted with a mistake, which fail
-    wherever they are started, condemned one healthy machine after the other: as long as a job has
-    neither failed elsewhere nor come to an end, it takes one more of its kind.
+    `blame`: called with a job and how often it failed here. Jobs for which the cause is still open
+    count too, but one more job must have failed unless some job is known to work elsewhere: two
+    faulty jobs, which fail on every machine, had healthy machines drained one after the other.
     """
     if not s.errors:
         return False
--- a/pulleydeal/workers/task_log.py
+++ b/pulleydeal/workers/task_log.py
@@ -1,4 +1,4 @@
-"""Log lines of what machines report of their tasks; decisions: pulleydeal/decisions.py."""
+"""Logs the task states that machines report. Decisions are logged by pulleydeal/decisions.py."""
 
 import logging
 
--- a/pulleydeal/workers/wanted.py
+++ b/pulleydeal/workers/wanted.py
@@ -1,4 +1,4 @@
-"""What should be on a machine, by the records: its bindings, and whether each is over."""
+"""Reads from the stored state which tasks belong on a machine, and which must not run."""
 
 from collections.abc import Collection
 
@@ -8,7 +8,10 @@
 
 
 def wanted(replica: Replica, machine: str, relayed: Collection[str]) -> dict[TaskId, Wanted]:
-    """`relayed`: jobs whose cancellation a sibling told, and the copy does not show yet."""
+    """The bindings of a machine.
+
+    `relayed`: cancelled jobs that another node announced and the local copy may not show yet.
+    """
     found = {}
     for task_id, task in replica.bound.get(machine, {}).items():
         job = replica.jobs[task_id[0]]
@@ -26,7 +29,7 @@
 
 
 def _is_broken(replica: Replica, task_id: TaskId, task: r.Task) -> bool:
-    """A gang that lost a task can't go on: its last checkpoint is all that is left."""
+    """Whether the gang lost a task: it cannot continue, except from its last checkpoint."""
     job = replica.jobs[task_id[0]]
     assert job.spec is not None
     return any(
