--- a/pulleydeal/workers/adopting.py
+++ b/pulleydeal/workers/adopting.py
@@ -10,14 +10,14 @@
 log = logging.getLogger("pulleydeal.workers")
 
 
-class Adopting:
+class MachineRegistrar:
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store = store
         self._replica = store.replica
         self._clock = clock
         self._writing: set[str] = set()
 
-    async def adopt(self, report: m.Report) -> None:
+    async def register(self, report: m.Report) -> None:
         if report.machine in self._writing:
             return
         self._writing.add(report.machine)
--- a/pulleydeal/workers/commanding.py
+++ b/pulleydeal/workers/commanding.py
@@ -11,24 +11,24 @@
 from pulleydeal.metrics import Metrics
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.commands import CommandRight, Lapse, Order, lapse
-from pulleydeal.workers.ends import Ends
-from pulleydeal.workers.incarnation import Known
+from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
+from pulleydeal.workers.ends import ExitRecorder
+from pulleydeal.workers.incarnation import KnownState
 from pulleydeal.workers.orders import Orders
 from pulleydeal.workers.outcomes import OrderResult, Outcome
-from pulleydeal.workers.station import Start, Station
+from pulleydeal.workers.station import AttemptId, Station
 
 log = logging.getLogger("pulleydeal.workers")
 
 Calls = list[dict[str, Any]]
-TakeReport = Callable[[Station, m.Report, Known | None], None]
+ReportHandler = Callable[[Station, m.Report, KnownState | None], None]
 
 
-class Commanding:
+class Commander:
     """Sends orders and probes, and handles what comes of them.
 
-    `take_report`: receives the reports that answer orders. `replan`: called with a machine whose
-    order was withdrawn. `reachability_changed`: called with one that starts or stops answering.
+    `on_report`: receives the reports that answer orders. `replan`: called with a machine whose
+    order was withdrawn. `on_reachability_change`: called with one that starts or stops answering.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         metrics: Metrics,
         decisions: DecisionLog,
         stations: dict[str, Station],
-        ends: Ends,
-        take_report: TakeReport,
+        exits: ExitRecorder,
+        on_report: ReportHandler,
         replan: Callable[[str], None],
-        reachability_changed: Callable[[str], None],
+        on_reachability_change: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._replica = replica
@@ -50,31 +50,31 @@
         self._metrics = metrics
         self._decisions = decisions
         self._stations = stations
-        self._ends = ends
+        self._exits = exits
         self._replan = replan
-        self.reported = take_report
-        self.reachability_changed = reachability_changed
+        self.on_report = on_report
+        self.on_reachability_change = on_reachability_change
         self.orders = Orders(clock, self)
 
     def token(self, station: Station) -> int:
         return views.token(self._membership.epoch, station.fence)
 
-    def right(self, station: Station) -> CommandRight:
-        return CommandRight(self._membership.epoch, self.token(station), station.session)
+    def authority(self, station: Station) -> CommandAuthority:
+        return CommandAuthority(self._membership.epoch, self.token(station), station.session)
 
-    def give(self, station: Station, calls: Calls, runs: list[Start]) -> None:
+    def send(self, station: Station, calls: Calls, runs: list[AttemptId]) -> None:
         """Queues commands, which are sent if the authority for them still holds at that time."""
-        self.orders.give(Order(station, self.right(station), calls, runs, self._clock.now()))
+        self.orders.send(Order(station, self.authority(station), calls, runs, self._clock.now()))
 
     def probe(self, station: Station) -> None:
         """Asks a machine for a report, such as when check-ins are missing, which may be lost."""
         if station.addr and not station.busy:
-            self.give(station, [], [])
+            self.send(station, [], [])
 
     def log(
         self,
         station: Station,
-        right: CommandRight,
+        authority: CommandAuthority,
         calls: Calls,
         why: str,
         waited_s: float = 0.0,
@@ -91,8 +91,8 @@
                 call["lift"],
                 call["pull"],
                 station.id,
-                right.token,
-                right.session,
+                authority.token,
+                authority.session,
                 station.seq,
                 waited_s,
                 allowed,
@@ -100,21 +100,23 @@
             self._decisions.write(decision)
 
     # --- callbacks of queued and sent orders (OrderOwner) -----------------------------------
-    def lapse(self, order: Order) -> Lapse | None:
+    def withdrawal_reason(self, order: Order) -> WithdrawalReason | None:
         machine = order.station.id
         may_start = all(self._may_start(machine, start) for start in order.runs)
-        return lapse(order, self._stations.get(machine), self.right(order.station), may_start)
+        return withdrawal_reason(
+            order, self._stations.get(machine), self.authority(order.station), may_start
+        )
 
-    def _may_start(self, machine: str, start: Start) -> bool:
+    def _may_start(self, machine: str, start: AttemptId) -> bool:
         job, index, attempt = start
         task = self._replica.bound.get(machine, {}).get((job, index))
-        return task is not None and task.attempt == attempt and start not in self._ends.pending
+        return task is not None and task.attempt == attempt and start not in self._exits.pending
 
-    def is_sent(self, order: Order, waited_s: float) -> None:
+    def on_send(self, order: Order, waited_s: float) -> None:
         self._metrics.order_wait.observe(waited_s)
-        self.log(order.station, order.right, order.calls, "order", waited_s)
+        self.log(order.station, order.authority, order.calls, "order", waited_s)
 
-    def finished(self, order: Order, result: OrderResult) -> None:
+    def on_result(self, order: Order, result: OrderResult) -> None:
         self._metrics.orders_finished.labels(result.outcome.value).inc()
         machine = order.station.id
         if result.outcome is not Outcome.NOT_UNDERSTOOD:
@@ -132,7 +134,7 @@
                 count,
             )
 
-    def withdrawn(self, order: Order, why: Lapse, waited_s: float) -> None:
+    def on_withdrawn(self, order: Order, why: WithdrawalReason, waited_s: float) -> None:
         self._metrics.orders_withdrawn.labels(why.value).inc()
-        self.log(order.station, order.right, order.calls, why.value, waited_s, allowed=False)
+        self.log(order.station, order.authority, order.calls, why.value, waited_s, allowed=False)
         self._replan(order.station.id)
--- a/pulleydeal/workers/commands.py
+++ b/pulleydeal/workers/commands.py
@@ -10,11 +10,11 @@
 from enum import StrEnum
 from typing import Any
 
-from pulleydeal.workers.station import Start, Station
+from pulleydeal.workers.station import AttemptId, Station
 
 
 @dataclass(frozen=True, slots=True)
-class CommandRight:
+class CommandAuthority:
     """Epoch, token and session under which a plan for a machine was made."""
 
     epoch: int
@@ -31,13 +31,13 @@
     """
 
     station: Station
-    right: CommandRight
+    authority: CommandAuthority
     calls: list[dict[str, Any]]
-    runs: list[Start]
+    runs: list[AttemptId]
     planned_at: float  # steady time in seconds
 
 
-class Lapse(StrEnum):
+class WithdrawalReason(StrEnum):
     """Why an order was not sent."""
 
     TENURE = "tenure ended"
@@ -48,20 +48,20 @@
     QUEUE = "queue too long"
 
 
-def lapse(
-    order: Order, station: Station | None, right: CommandRight, may_start: bool
-) -> Lapse | None:
+def withdrawal_reason(
+    order: Order, station: Station | None, authority: CommandAuthority, may_start: bool
+) -> WithdrawalReason | None:
     """Why an order must not be sent any more; None: it may be sent.
 
-    `station`, `right`: the current ones of the machine. `may_start`: whether every task that the
-    order starts is still bound to the machine and no exit of it is being written.
+    `station`, `authority`: the current ones of the machine. `may_start`: whether every task that
+    the order starts is still bound to the machine and no exit of it is being written.
     """
     if station is not order.station:
-        return Lapse.TENURE
-    if right.epoch != order.right.epoch:
-        return Lapse.EPOCH
-    if right.token != order.right.token:
-        return Lapse.TOKEN
-    if right.session != order.right.session:
-        return Lapse.SESSION
-    return None if may_start else Lapse.BINDING
+        return WithdrawalReason.TENURE
+    if authority.epoch != order.authority.epoch:
+        return WithdrawalReason.EPOCH
+    if authority.token != order.authority.token:
+        return WithdrawalReason.TOKEN
+    if authority.session != order.authority.session:
+        return WithdrawalReason.SESSION
+    return None if may_start else WithdrawalReason.BINDING
--- a/pulleydeal/workers/ends.py
+++ b/pulleydeal/workers/ends.py
@@ -14,11 +14,11 @@
 from pulleydeal.store.service import Store
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.changes import apply_exit
-from pulleydeal.workers.station import Exit, Start, Station
+from pulleydeal.workers.station import AttemptId, Exit, Station
 
 
-class Ends:
-    """`written`: called with a machine after an exit there was written or dropped."""
+class ExitRecorder:
+    """`on_written`: called with a machine after an exit there was written or dropped."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         metrics: Metrics,
         decisions: DecisionLog,
         stations: dict[str, Station],
-        written: Callable[[str], None],
+        on_written: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._store = store
@@ -36,39 +36,39 @@
         self._metrics = metrics
         self._decisions = decisions
         self._stations = stations
-        self._written = written
-        self.pending: set[Start] = set()  # exits being written: none of these may be started
+        self._on_written = on_written
+        self.pending: set[AttemptId] = set()  # exits being written: none of these may be started
 
-    def record(self, station: Station, gone: Exit) -> None:
+    def record(self, station: Station, task_exit: Exit) -> None:
         """Logs an exit and queues its write, unless that is already pending."""
-        start = (gone.job, gone.index, gone.attempt)
+        start = (task_exit.job, task_exit.index, task_exit.attempt)
         if start in self.pending:
             return
         self.pending.add(start)
-        if gone.outcome == "error":
+        if task_exit.outcome == "error":
             station.errors.append((self._clock.now(), start))
         self._decisions.write(
             Decision(
                 Action.END,
-                f"{gone.outcome}: {shown(gone.detail)}",
-                m.task_name(gone.job, gone.index),
-                gone.attempt,
-                gone.machine,
+                f"{task_exit.outcome}: {shown(task_exit.detail)}",
+                m.task_name(task_exit.job, task_exit.index),
+                task_exit.attempt,
+                task_exit.machine,
                 session=station.session,
                 seq=station.seq,
             )
         )
-        self._metrics.stops.labels(gone.outcome).inc()
+        self._metrics.stops.labels(task_exit.outcome).inc()
         future = self._store.change_job(
-            gone.job, partial(self._prove, station, gone), turn=Turn.WORK
+            task_exit.job, partial(self._apply_if_proved, station, task_exit), turn=Turn.WORK
         )
         future.add_done_callback(partial(self._finish, station.id, start))
 
-    def _finish(self, machine: str, start: Start, _: "asyncio.Future[bool]") -> None:
+    def _finish(self, machine: str, start: AttemptId, _: "asyncio.Future[bool]") -> None:
         self.pending.discard(start)
-        self._written(machine)
+        self._on_written(machine)
 
-    def _prove(self, station: Station, gone: Exit, draft: Draft) -> None:
+    def _apply_if_proved(self, station: Station, task_exit: Exit, draft: Draft) -> None:
         """Applies the exit to the newest record, if its proof still holds.
 
         The commit is conditional on that record and the view. Absence of a task proves nothing once
@@ -77,5 +77,5 @@
         ran twice.
         """
         still_owner = self._membership.is_member and self._stations.get(station.id) is station
-        if still_owner or not gone.by_absence:
-            apply_exit(draft, gone)
+        if still_owner or not task_exit.by_absence:
+            apply_exit(draft, task_exit)
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -16,15 +16,15 @@
 from pulleydeal.store.reasons import RETURNED
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_stop
-from pulleydeal.workers.commanding import Commanding
+from pulleydeal.workers.commanding import Commander
 from pulleydeal.workers.keeping import Keeping
 from pulleydeal.workers.reachability import (
-    one_way_for_long,
+    one_way_too_long,
     out_of_sight,
-    silent_for_long,
     silent_s,
+    silent_too_long,
 )
-from pulleydeal.workers.station import Blame, Station, is_sick
+from pulleydeal.workers.station import FailureCause, Station, is_sick
 
 log = logging.getLogger("pulleydeal.workers")
 IDLE = "idle"  # drain reason of a machine that no work needs
@@ -40,11 +40,11 @@
         times: WorkerTimes,
         clock: Clock,
         stations: dict[str, Station],
-        commanding: Commanding,
+        commanding: Commander,
         keeping: Keeping,
-        aimed: set[str],
+        objective_classes: set[str],
     ) -> None:
-        self._aimed = aimed  # job classes that have an objective
+        self._objective_classes = objective_classes  # job classes that have an objective
         self._membership = membership
         self._store = store
         self._replica = store.replica
@@ -53,7 +53,7 @@
         self._stations = stations
         self._commanding = commanding
         self._keeping = keeping
-        self._unseen_at: dict[str, float] = {}  # zone -> when most of its machines were last silent
+        self._silent_zone_at: dict[str, float] = {}  # zone -> when it was last silent
 
     def unseen_zones(self) -> set[str]:
         """Zones that are currently unreachable, as seen by this node and its peers."""
@@ -71,40 +71,40 @@
         stations = list(self._stations.values())
         silent = {
             s.id
-            for s in silent_for_long(
+            for s in silent_too_long(
                 stations,
                 now,
                 report_s,
                 self._times.lease_s,
-                self._unseen_at,
+                self._silent_zone_at,
                 self._keeping.others_see(),
                 self._keeping.watched_over(),
             )
         }
-        one_way = set(one_way_for_long(stations, now, report_s, self._times.lease_s))
+        one_way = set(one_way_too_long(stations, now, report_s, self._times.lease_s))
         for station in stations:
             if self._stations.get(station.id) is not station:
                 continue  # no longer owned since another record was written in this loop
             quiet = silent_s(station, now) > c.PROBE_REPORTS * report_s
-            if quiet or station.unanswered_since is not None or station.is_misunderstood:
+            if quiet or station.unanswered_since is not None or station.last_answer_invalid:
                 self._commanding.probe(station)
             record = self._replica.machines.get(station.id)
             if record is not None and record.record.why == IDLE:
-                self._clear_out(station)
+                self._stop_idle_work(station)
             if record is None or record.record.state != "up":
                 continue
             # Checked again: a report may have arrived while another record was written.
             if station.id in silent and silent_s(station, now) > c.PROBE_REPORTS * report_s:
-                await self.mark(station.id, "silent")
-            elif station.id in one_way and (station.unanswered_since or station.mute_since):
+                await self.mark_for_drain(station.id, "silent")
+            elif station.id in one_way and (station.unanswered_since or station.no_checkin_since):
                 log.info("machine %s is reachable in one direction only", station.id)
-                await self.mark(station.id, "silent")
-            elif is_sick(station, now, self._blame):
-                await self.mark(station.id, "sick")
+                await self.mark_for_drain(station.id, "silent")
+            elif is_sick(station, now, self._failure_cause):
+                await self.mark_for_drain(station.id, "sick")
             elif station.notice_at is not None:
                 self._drain_for_notice(station, now)
 
-    def _blame(self, job_id: str, here: int) -> Blame:
+    def _failure_cause(self, job_id: str, here: int) -> FailureCause:
         """Whether a job's `here` failures on one machine are due to the job or to the machine.
 
         A job that succeeded is sound, and one that failed elsewhere too is faulty. A cancelled job
@@ -117,7 +117,7 @@
             return "machine"
         return "job" if job.fails > here else "open"
 
-    async def mark(self, machine: str, why: str) -> None:
+    async def mark_for_drain(self, machine: str, why: str) -> None:
         """Writes durably that a machine is to be drained."""
         old = self._replica.machines[machine]
         record = msgspec.structs.replace(old.record, state="drain", why=why, at=self._clock.wall())
@@ -140,11 +140,15 @@
             if now >= last:
                 self.stop(job_id, index, task.attempt, "the cloud takes its spot machine back")
 
-    def _clear_out(self, station: Station) -> None:
+    def _stop_idle_work(self, station: Station) -> None:
         """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
         for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
             spec = self._replica.jobs[job_id].spec
-            if spec is not None and not task.stop and rules.idle_time(spec, self._aimed):
+            if (
+                spec is not None
+                and not task.stop
+                and rules.idle_time(spec, self._objective_classes)
+            ):
                 self.stop(job_id, index, task.attempt, RETURNED)
 
     def stop(self, job_id: str, index: int, attempt: int, why: str) -> None:
--- a/pulleydeal/workers/incarnation.py
+++ b/pulleydeal/workers/incarnation.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownState:
     """The newest state known of a machine when an order to it was sent."""
 
     session: int
@@ -23,11 +23,11 @@
     token: int
 
 
-def known(s: Station) -> Known | None:
-    return None if s.heard_at is None else Known(s.session, s.seq, s.seen_token)
+def known_state(s: Station) -> KnownState | None:
+    return None if s.heard_at is None else KnownState(s.session, s.seq, s.seen_token)
 
 
-def doubtful(s: Station, report: m.Report, now: float) -> bool:
+def is_ambiguous(s: Station, report: m.Report, now: float) -> bool:
     """Whether a check-in may be a delayed copy or the first one after a restart.
 
     The machine is then probed; the check-in is neither applied nor answered with commands. An older
@@ -39,7 +39,7 @@
     return report.token < s.seen_token or (older and now - s.heard_at > c.OVERTAKEN_S)
 
 
-def begins_anew(before: Known | None, report: m.Report) -> bool:
+def has_restarted(before: KnownState | None, report: m.Report) -> bool:
     """Whether the answer to an order shows that the machine restarted since `before` was known.
 
     Restarted machines were taken for silent, as all their reports were older than those before the
@@ -51,7 +51,9 @@
     return older or report.token < before.token
 
 
-def next_life(s: Station, inherited: set[tuple[str, int, int]], token: int, now: float) -> Station:
+def state_after_restart(
+    s: Station, inherited: set[tuple[str, int, int]], token: int, now: float
+) -> Station:
     """The state of a machine after a restart, as after a takeover.
 
     No report is trusted before the machine holds a token above all that it was given before the
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -8,55 +8,55 @@
 from pulleydeal.clock import Clock
 from pulleydeal.http import Client, NoAnswer, Withdrawn
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.commands import Lapse, Order
-from pulleydeal.workers.incarnation import Known, known
+from pulleydeal.workers.commands import Order, WithdrawalReason
+from pulleydeal.workers.incarnation import KnownState, known_state
 from pulleydeal.workers.outcomes import OrderResult, Outcome, read_answer
 from pulleydeal.workers.station import Station, forget_kills
 
 
-class _Lapsed(Exception):
+class _OrderWithdrawn(Exception):
     """The order was withdrawn: not sent, and never will be."""
 
-    def __init__(self, why: Lapse) -> None:
+    def __init__(self, why: WithdrawalReason) -> None:
         super().__init__(why.value)
         self.why = why
 
 
-class OrderOwner(Protocol):
+class OrderHandler(Protocol):
     """What `Orders` needs of the code that plans the orders."""
 
     def token(self, station: Station) -> int:
         """The token for commands to the machine at this moment."""
 
-    def lapse(self, order: Order) -> Lapse | None:
+    def withdrawal_reason(self, order: Order) -> WithdrawalReason | None:
         """Why the order must not be sent any more; None: it may be sent."""
 
-    def is_sent(self, order: Order, waited_s: float) -> None:
+    def on_send(self, order: Order, waited_s: float) -> None:
         """Called right before the first byte of the order is written."""
 
-    def withdrawn(self, order: Order, why: Lapse, waited_s: float) -> None:
+    def on_withdrawn(self, order: Order, why: WithdrawalReason, waited_s: float) -> None:
         """Called when the order was withdrawn: it was not sent and never will be."""
 
-    def finished(self, order: Order, result: OrderResult) -> None:
+    def on_result(self, order: Order, result: OrderResult) -> None:
         """Called with the result of sending, before anything is concluded from it."""
 
-    def reported(self, station: Station, report: m.Report, before: Known | None) -> None:
+    def on_report(self, station: Station, report: m.Report, before: KnownState | None) -> None:
         """Called with the report in an answer; `before`: the state known when it was asked for."""
 
-    def reachability_changed(self, machine: str) -> None:
+    def on_reachability_change(self, machine: str) -> None:
         """Called when the machine starts or stops answering."""
 
 
 class Orders:
     """Sends orders: at most one to a machine at a time, and a bounded number in total."""
 
-    def __init__(self, clock: Clock, owner: OrderOwner) -> None:
+    def __init__(self, clock: Clock, handler: OrderHandler) -> None:
         self._clock = clock
-        self._owner = owner
+        self._handler = handler
         self._clients: dict[str, Client] = {}
-        self._orders = asyncio.Semaphore(c.ORDERS_IN_FLIGHT)
-        self._probes = asyncio.Semaphore(c.PROBES_IN_FLIGHT)
-        self._background = Background("a worker exchange failed")
+        self._order_slots = asyncio.Semaphore(c.ORDERS_IN_FLIGHT)
+        self._probe_slots = asyncio.Semaphore(c.PROBES_IN_FLIGHT)
+        self._background = Background("sending an order failed")
 
     def drop(self, addr: str) -> None:
         """Closes the connections to an address that no longer belongs to an owned machine."""
@@ -74,42 +74,42 @@
             client = self._clients[addr] = Client(addr, self._clock)
         return client
 
-    def give(self, order: Order) -> None:
+    def send(self, order: Order) -> None:
         order.station.busy = True
-        self._background.spawn(self._carry_out(order))
+        self._background.spawn(self._process(order))
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _process(self, order: Order) -> None:
         try:
-            result, before = await self._in_its_turn(order)
-        except _Lapsed as lapsed:
-            self._withdraw(order, lapsed.why)
+            result, before = await self._wait_and_send(order)
+        except _OrderWithdrawn as error:
+            self._withdraw(order, error.why)
             return
         finally:
             # Reset before the answer is processed, which may send the machine its next order.
             order.station.busy = False
-        self._owner.finished(order, result)
-        self._conclude(order, result)
+        self._handler.on_result(order, result)
+        self._apply_result(order, result)
         if result.report is not None:
-            self._owner.reported(order.station, result.report, before)
+            self._handler.on_report(order.station, result.report, before)
 
-    async def _in_its_turn(self, order: Order) -> tuple[OrderResult, Known | None]:
+    async def _wait_and_send(self, order: Order) -> tuple[OrderResult, KnownState | None]:
         """Waits for a slot and sends the order; returns its result and the state known before.
 
-        Raises _Lapsed if the order is withdrawn.
+        Raises _OrderWithdrawn if the order is withdrawn.
         """
         # Unresponsive machines mostly get probes, which must not delay orders to other machines.
-        slots = self._orders if order.calls else self._probes
+        slots = self._order_slots if order.calls else self._probe_slots
         try:
             # A probe may wait for any time, as it starts nothing.
             async with asyncio.timeout(c.ORDER_QUEUE_MOST_S if order.calls else None):
                 await slots.acquire()
         except TimeoutError:
-            raise _Lapsed(Lapse.QUEUE) from None
+            raise _OrderWithdrawn(WithdrawalReason.QUEUE) from None
         try:
             # Checked before a client is created: the machine may no longer be owned.
-            why = self._owner.lapse(order)
+            why = self._handler.withdrawal_reason(order)
             if why is not None:
-                raise _Lapsed(why)
+                raise _OrderWithdrawn(why)
             return await self._exchange(order)
         finally:
             slots.release()
@@ -117,44 +117,44 @@
     def _waited_s(self, order: Order) -> float:
         return self._clock.now() - order.planned_at
 
-    async def _exchange(self, order: Order) -> tuple[OrderResult, Known | None]:
+    async def _exchange(self, order: Order) -> tuple[OrderResult, KnownState | None]:
         station = order.station
-        patience_s = c.ORDERS_TIMEOUT_S if order.calls else c.PROBE_TIMEOUT_S
-        body = m.orders(order.right.token, order.right.session, order.calls)
+        timeout_s = c.ORDERS_TIMEOUT_S if order.calls else c.PROBE_TIMEOUT_S
+        body = m.orders(order.authority.token, order.authority.session, order.calls)
         # Taken before sending: a machine that answers with an older state has restarted.
-        before = known(station)
-        lapsed: list[Lapse] = []
+        before = known_state(station)
+        reasons: list[WithdrawalReason] = []
 
-        def still_wanted() -> bool:
+        def may_send() -> bool:
             # Checked again, as the order waited for a slot and a connection: a new owner may have
             # asked the machine since and concluded that the task never started.
-            why = self._owner.lapse(order)
+            why = self._handler.withdrawal_reason(order)
             if why is not None:
-                lapsed.append(why)
+                reasons.append(why)
                 return False
-            self._owner.is_sent(order, self._waited_s(order))
+            self._handler.on_send(order, self._waited_s(order))
             return True
 
         client = self._client(station.addr)
         try:
-            status, reply = await client.request("POST", "/orders", body, patience_s, still_wanted)
+            status, reply = await client.request("POST", "/orders", body, timeout_s, may_send)
         except Withdrawn:
-            raise _Lapsed(lapsed[0]) from None
+            raise _OrderWithdrawn(reasons[0]) from None
         except NoAnswer as error:
             outcome = Outcome.UNANSWERED if error.sent else Outcome.NOT_SENT
             return OrderResult(outcome, reason=str(error)), before
         return read_answer(order, status, reply), before
 
-    def _withdraw(self, order: Order, why: Lapse) -> None:
+    def _withdraw(self, order: Order, why: WithdrawalReason) -> None:
         for start in order.runs:
             order.station.sent.pop(start, None)
         forget_kills(order.station, order.calls)
-        self._owner.withdrawn(order, why, self._waited_s(order))
+        self._handler.on_withdrawn(order, why, self._waited_s(order))
 
-    def _conclude(self, order: Order, result: OrderResult) -> None:
+    def _apply_result(self, order: Order, result: OrderResult) -> None:
         """Updates the state of the machine, and of the starts in the order, from the result."""
-        self._note_reachable(order.station, result)
-        if result.is_elsewhere:
+        self._update_reachability(order.station, result)
+        if result.is_other_machine:
             # Orders do not name their machine: any machine at the address would execute them. The
             # machine's next check-in gives its new address.
             self.drop(order.station.addr)
@@ -165,32 +165,32 @@
                     order.station.sent[start].direct = False
                     order.station.sent[start].settled = True
             case Outcome.REFUSED | Outcome.NOT_SENT:
-                self._unsettle(order, executed=False)
+                self._handle_unconfirmed(order, maybe_executed=False)
             case Outcome.UNANSWERED | Outcome.NOT_UNDERSTOOD:
-                self._unsettle(order, executed=True)
+                self._handle_unconfirmed(order, maybe_executed=True)
 
-    def _note_reachable(self, station: Station, result: OrderResult) -> None:
-        station.is_misunderstood = result.outcome is Outcome.NOT_UNDERSTOOD
+    def _update_reachability(self, station: Station, result: OrderResult) -> None:
+        station.last_answer_invalid = result.outcome is Outcome.NOT_UNDERSTOOD
         if not result.is_answered:
-            station.mute_since = None
+            station.no_checkin_since = None
         if result.is_answered == (station.unanswered_since is None):
             return
         station.unanswered_since = None if result.is_answered else self._clock.now()
-        self._owner.reachability_changed(station.id)
+        self._handler.on_reachability_change(station.id)
 
-    def _unsettle(self, order: Order, executed: bool) -> None:
+    def _handle_unconfirmed(self, order: Order, maybe_executed: bool) -> None:
         """Handles the starts of an order that was not confirmed.
 
-        `executed`: whether they may have been executed, or may be much later. Then nothing is
+        `maybe_executed`: whether they may have been executed, or may be much later. Then nothing is
         concluded about them until a report shows a token with which the order would be refused.
         """
         station = order.station
-        if not executed:
+        if not maybe_executed:
             for start in order.runs:
                 station.sent.pop(start, None)
             return
         if order.runs:
             station.raise_fence()
         for start in order.runs:
-            station.sent[start].fence = self._owner.token(station)
+            station.sent[start].fence = self._handler.token(station)
             station.sent[start].direct = False
--- a/pulleydeal/workers/outcomes.py
+++ b/pulleydeal/workers/outcomes.py
@@ -38,7 +38,7 @@
     outcome: Outcome
     report: m.Report | None = None
     reason: str = ""
-    is_elsewhere: bool = False
+    is_other_machine: bool = False
 
     @property
     def is_answered(self) -> bool:
@@ -56,10 +56,10 @@
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=f"status {status} without a report")
     if report.machine != order.station.id:
         reason = "another machine's report"
-        return OrderResult(Outcome.NOT_UNDERSTOOD, reason=reason, is_elsewhere=True)
-    right = order.right
-    is_accepted = report.session == right.session and report.token >= right.token
-    is_refused = report.session != right.session or report.token > right.token
+        return OrderResult(Outcome.NOT_UNDERSTOOD, reason=reason, is_other_machine=True)
+    authority = order.authority
+    is_accepted = report.session == authority.session and report.token >= authority.token
+    is_refused = report.session != authority.session or report.token > authority.token
     if status == EXECUTED_STATUS and is_accepted:
         return OrderResult(Outcome.EXECUTED, report)
     if status == REFUSED_STATUS and is_refused:
--- a/pulleydeal/workers/reachability.py
+++ b/pulleydeal/workers/reachability.py
@@ -11,7 +11,7 @@
     return now - max(s.since, s.heard_at if s.heard_at is not None else s.since)
 
 
-def unsignalled_s(s: Station, now: float) -> float:
+def without_checkin_s(s: Station, now: float) -> float:
     """Seconds since the last check-in, or since the machine is owned.
 
     Answers to orders do not count, as only the answer to a check-in renews the lease. A machine
@@ -40,7 +40,7 @@
     return found
 
 
-def unseen_zones(
+def silent_zones(
     stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
 ) -> set[str]:
     """Zones taken for cut off, as more machines are silent at once than fail independently.
@@ -63,41 +63,41 @@
 def out_of_sight(
     stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
 ) -> set[str]:
-    """Like `unseen_zones`, but empty if it is all zones: then this node itself is cut off.
+    """Like `silent_zones`, but empty if it is all zones: then this node itself is cut off.
 
     A node that owns no machines uses the zones that other owners know.
     """
-    unseen = unseen_zones(stations, now, report_s, others)
+    zones = silent_zones(stations, now, report_s, others)
     known = {s.zone for s in stations} or set[str]().union(*others)
-    return unseen if known - unseen else set()
+    return zones if known - zones else set()
 
 
-def silent_for_long(
+def silent_too_long(
     stations: list[Station],
     now: float,
     report_s: float,
     lease_s: float,
-    unseen_at: dict[str, float],
+    silent_zone_at: dict[str, float],
     others: Sequence[Seen] = (),
     watched_over: bool = False,
 ) -> list[Station]:
     """Machines to be returned for their silence.
 
-    `unseen_at`: zone -> when most of its machines were last silent; updated here. After that moment
-    each of its machines gets the full time again, as they report one after the other.
+    `silent_zone_at`: zone -> when it was last silent (see `silent_zones`); updated here. From then
+    on each of its machines gets the full time again, as they report one after the other.
     `watched_over`: the fleet leader, which knows what every owner sees, decides about machines of
     silent zones, so none of them is included here.
     """
-    unseen = unseen_zones(stations, now, report_s, others)
+    zones = silent_zones(stations, now, report_s, others)
     long_s = c.SILENT_RETURN_REPORTS * report_s
     quiet_s = c.PROBE_REPORTS * report_s
-    if all(s.zone in unseen for s in stations):
+    if all(s.zone in zones for s in stations):
         # All machines are in silent zones, so this node itself is cut off. Keeping the machines for
         # long left them unused, and fewer services were up (0.76 instead of 0.87 in a run with such
         # a partition). The share below counts only machines silent for `long_s` here: work on those
         # returned before the share is reached starts elsewhere sooner.
-        unseen, quiet_s = set(), long_s
-    unseen_at |= dict.fromkeys(unseen, now)
+        zones, quiet_s = set(), long_s
+    silent_zone_at |= dict.fromkeys(zones, now)
     quiet = sum(silent_s(s, now) > quiet_s for s in stations)
     # Many silent machines suggest a fault of this node: then the limit is the lease time.
     suspect = quiet > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
@@ -105,16 +105,16 @@
     found = []
     for s in stations:
         silence = silent_s(s, now)
-        if s.zone in unseen:
+        if s.zone in zones:
             late = silence > c.UNSEEN_KEEP_S and not watched_over
         else:
-            late = min(silence, now - unseen_at.get(s.zone, -1e9)) > usual
+            late = min(silence, now - silent_zone_at.get(s.zone, -1e9)) > usual
         if late:
             found.append(s)
     return found
 
 
-def one_way_for_long(
+def one_way_too_long(
     stations: list[Station], now: float, report_s: float, lease_s: float
 ) -> list[str]:
     """Machines to be returned as they are reachable in one direction only.
@@ -135,15 +135,16 @@
     mute = [
         s
         for s in stations
-        if s.mute_since is not None and unsignalled_s(s, now) > c.SILENT_REPORTS * report_s
+        if s.no_checkin_since is not None
+        and without_checkin_s(s, now) > c.SILENT_REPORTS * report_s
     ]
-    many = len(deaf) > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
-    several = len(mute) > c.SILENT_FEW
-    over = lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S + report_s
-    since = [(s.id, s.unanswered_since or now, many or s.trusted) for s in deaf]
-    since += [(s.id, s.mute_since or now, several) for s in mute]
+    many_deaf = len(deaf) > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
+    many_mute = len(mute) > c.SILENT_FEW
+    limit_s = lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S + report_s
+    since = [(s.id, s.unanswered_since or now, many_deaf or s.trusted) for s in deaf]
+    since += [(s.id, s.no_checkin_since or now, many_mute) for s in mute]
     return [
         machine
-        for machine, at, patient in since
-        if now - at > (c.UNSEEN_KEEP_S if patient else over)
+        for machine, at, keep_longer in since
+        if now - at > (c.UNSEEN_KEEP_S if keep_longer else limit_s)
     ]
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -22,33 +22,33 @@
 from pulleydeal.store.service import Store
 from pulleydeal.workers import incarnation, task_log
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.adopting import Adopting
-from pulleydeal.workers.commanding import Commanding
-from pulleydeal.workers.ends import Ends
+from pulleydeal.workers.adopting import MachineRegistrar
+from pulleydeal.workers.commanding import Commander
+from pulleydeal.workers.ends import ExitRecorder
 from pulleydeal.workers.keeping import Keeping
-from pulleydeal.workers.reachability import silent_s, unsignalled_s
+from pulleydeal.workers.reachability import silent_s, without_checkin_s
 from pulleydeal.workers.station import (
-    Entry,
+    AttemptId,
     Plan,
-    Sent,
-    Start,
+    SentStart,
     Station,
     TaskId,
+    TaskStatus,
     absorb,
     forget_kills,
-    is_settled,
+    is_reconciled,
     reconcile,
 )
-from pulleydeal.workers.wanted import wanted
+from pulleydeal.workers.wanted import desired_tasks
 
 log = logging.getLogger("pulleydeal.workers")
 
 
-def _nothing(_machine: str) -> None:
+def _ignore(_machine: str) -> None:
     """Default for `Workers.changed`, until a listener is set."""
 
 
-def _exited(entries: dict[TaskId, Entry]) -> set[TaskId]:
+def _exited_tasks(entries: dict[TaskId, TaskStatus]) -> set[TaskId]:
     return {task_id for task_id, entry in entries.items() if entry.state == "exited"}
 
 
@@ -76,33 +76,35 @@
         self.stations = stations
         self._keeping = keeping
         self._decisions = DecisionLog(membership, store, clock, metrics)
-        self.ends = Ends(membership, store, clock, metrics, self._decisions, stations, self._replan)
-        self.commanding = Commanding(
+        self.exits = ExitRecorder(
+            membership, store, clock, metrics, self._decisions, stations, self._replan
+        )
+        self.commanding = Commander(
             membership,
             store.replica,
             clock,
             metrics,
             self._decisions,
             stations,
-            self.ends,
-            self._take_answer,
+            self.exits,
+            self._on_order_report,
             self._replan,
             lambda machine: self.changed(machine),
         )
-        self._adopting = Adopting(store, clock)
+        self._registrar = MachineRegistrar(store, clock)
         self._background = Background("registering a machine failed")
         self._dirty: set[str] = set()
         self._wake = asyncio.Event()
         # Oldest state copy with which leases may be renewed: a node cut off from the state service
         # must stop renewing early enough that leases expire within cancel_s.
-        self._blind_limit_s = max(
+        self._max_staleness_s = max(
             2.0, (times.cancel_s - times.lease_s) * (1 - c.CLOCK_DRIFT) - c.RENEW_MARGIN_S
         )
         # Job -> machines whose last report names one of its tasks.
-        self._reported: dict[str, set[str]] = {}
-        self._looked_at = -1e9  # steady time of the last round over all owned machines
+        self._machines_by_job: dict[str, set[str]] = {}
+        self._full_round_at = -1e9  # steady time of the last round over all owned machines
         # Called with the id of a machine whose credit may have changed.
-        self.changed: Callable[[str], None] = _nothing
+        self.changed: Callable[[str], None] = _ignore
         store.replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
@@ -112,71 +114,71 @@
             # a "bound" event names each affected machine.
             if job is not None and (not job.is_open or (job.spec and job.spec.kind == "gang")):
                 for machine in {task.machine for _, task in job.bindings()}:
-                    self._touch(machine)
-                for machine in self._reported.get(name, ()):
-                    self._touch(machine)
+                    self._mark_changed(machine)
+                for machine in self._machines_by_job.get(name, ()):
+                    self._mark_changed(machine)
         elif kind in ("machine", "bound"):
-            self._touch(name)
+            self._mark_changed(name)
             record = self._replica.machines.get(name)
             if kind == "machine" and (record is None or record.record.state == "gone"):
-                self._drop(name)
+                self._stop_tracking(name)
         elif kind == "view":
-            self._own()
+            self._update_ownership()
         self._wake.set()
 
-    def _touch(self, machine: str) -> None:
+    def _mark_changed(self, machine: str) -> None:
         """Marks a machine for planning, because an input of its plan has changed."""
         self._dirty.add(machine)
         station = self.stations.get(machine)
         if station is not None:
-            station.settled = False
+            station.reconciled = False
 
-    def _own(self) -> None:
+    def _update_ownership(self) -> None:
         """Starts and stops tracking machines according to the current view."""
         token = views.token(self._membership.epoch, 0)
         now = self._clock.now()
-        skipped = self._membership.epoch > self._epoch + 1
+        skipped_views = self._membership.epoch > self._epoch + 1
         self._epoch = self._membership.epoch
         members = " ".join(sorted(self._membership.view.members))
         is_member = self._membership.is_member
         self._decisions.write(Decision(Action.LEAD, f"members {members}", allowed=is_member))
         with self._lock:
-            if skipped:
+            if skipped_views:
                 # Another node may have owned them in a view that this node never processed.
                 self.stations.clear()
-                self._reported.clear()
+                self._machines_by_job.clear()
             for machine, station in list(self.stations.items()):
                 if not self._membership.owns(machine, station.zone):
-                    self._drop(machine)
+                    self._stop_tracking(machine)
             for machine, record in self._replica.machines.items():
                 rec = record.record
                 if rec.state == "gone" or machine in self.stations:
                     continue
                 if self._membership.owns(machine, rec.zone):
-                    station = self._station(machine, rec.type, rec.zone, rec.spot, token, now)
+                    station = self._track(machine, rec.type, rec.zone, rec.spot, token, now)
                     station.addr = rec.addr
         for machine in self.stations:
-            self._touch(machine)
+            self._mark_changed(machine)
 
-    def _drop(self, machine: str) -> None:
+    def _stop_tracking(self, machine: str) -> None:
         """Stops tracking a machine that has another owner or was returned to the cloud.
 
         A returned machine would otherwise be probed in vain.
         """
         station = self.stations.pop(machine, None)
         if station is not None:
-            self._index(machine, station.entries, {})
+            self._index_report(machine, station.entries, {})
             self.commanding.orders.drop(station.addr)
             self.changed(machine)
 
-    def _station(
+    def _track(
         self, machine: str, type_: str, zone: str, spot: bool, token: int, now: float
     ) -> Station:
-        station = Station(machine, type_, zone, spot, now, token, self._bound(machine))
+        station = Station(machine, type_, zone, spot, now, token, self._bound_attempts(machine))
         self.stations[machine] = station
         return station
 
-    def _first_heard(self, report: m.Report, fence: int) -> Station:
+    def _track_first_report(self, report: m.Report, fence: int) -> Station:
         """Starts tracking a machine at its first report to this node.
 
         `fence`: 1 if the machine has no record. Its report may have been delayed since before the
@@ -185,11 +187,11 @@
         token, now = views.token(self._membership.epoch, fence), self._clock.now()
         kind = (report.type, report.zone, report.spot)
         with self._lock:
-            station = self._station(report.machine, *kind, token, now)
+            station = self._track(report.machine, *kind, token, now)
         station.fence = fence
         return station
 
-    def _bound(self, machine: str) -> set[Start]:
+    def _bound_attempts(self, machine: str) -> set[AttemptId]:
         """Bindings that an earlier owner may have started, or this node before a restart of the
         machine."""
         bound = self._replica.bound.get(machine, {})
@@ -197,7 +199,7 @@
 
     def silent(self, station: Station) -> bool:
         limit = c.SILENT_REPORTS * self._times.report_s
-        return unsignalled_s(station, self._clock.now()) > limit
+        return without_checkin_s(station, self._clock.now()) > limit
 
     def oldest_report_s(self) -> float:
         now = self._clock.now()
@@ -216,44 +218,44 @@
             if self._keeping.keeps(report):
                 return answer(200, m.commands(report.token, []))
             return answer(421, m.redirect(owner))
-        if not self._may_renew(report.zone):
+        if not self._may_renew_lease(report.zone):
             return answer(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
         record = self._replica.machines.get(report.machine)
         if record is not None and record.record.state == "gone":
             return answer(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
         station = self.stations.get(report.machine)
         if station is None:
-            station = self._first_heard(report, fence=int(record is None))
+            station = self._track_first_report(report, fence=int(record is None))
         if report.token > self.commanding.token(station):
             # An owner with a newer view commands the machine; this node's view is outdated.
             return answer(421, m.redirect(""))
-        if incarnation.doubtful(station, report, self._clock.now()):
+        if incarnation.is_ambiguous(station, report, self._clock.now()):
             self.commanding.probe(station)
-            return self._commands(station, [])
+            return self._command_response(station, [])
         self._take(station, report, checkin=True)
         if record is None or record.record.state == "boot" or (record.record.addr != report.addr):
-            self._background.spawn(self._adopting.adopt(report))
+            self._background.spawn(self._registrar.register(report))
         plan = self._plan(station)
         for start in plan.runs:
-            station.sent[start] = Sent(station.session, report.seq)
-        right = self.commanding.right(station)
-        self.commanding.log(station, right, plan.calls, "answer to a check-in")
-        return self._commands(station, plan.calls)
+            station.sent[start] = SentStart(station.session, report.seq)
+        authority = self.commanding.authority(station)
+        self.commanding.log(station, authority, plan.calls, "answer to a check-in")
+        return self._command_response(station, plan.calls)
 
-    def _commands(self, station: Station, calls: list[dict[str, Any]]) -> Response:
+    def _command_response(self, station: Station, calls: list[dict[str, Any]]) -> Response:
         body = msgspec.json.encode(m.commands(self.commanding.token(station), calls))
-        return Response(200, body, written=lambda: self._answered(station))
+        return Response(200, body, written=lambda: self._on_answered(station))
 
-    def _answered(self, station: Station) -> None:
+    def _on_answered(self, station: Station) -> None:
         station.answered_at = self._clock.now()
 
-    def _may_renew(self, zone: str) -> bool:
+    def _may_renew_lease(self, zone: str) -> bool:
         """Whether this node knows of cancellations recently enough to renew leases in the zone.
 
         Otherwise it might keep a cancelled task alive. What counts is when its copy was current or
         when the other members were asked, not when their answers arrived.
         """
-        limit_s, now = self._blind_limit_s, self._clock.now()
+        limit_s, now = self._max_staleness_s, self._clock.now()
         return (
             vouching.may_renew(self._store.current_at, limit_s, now)
             or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
@@ -264,57 +266,57 @@
         now = self._clock.now()
         with self._lock:
             before = station.entries
-            stood = (station.trusted, station.notice_at is None, self.silent(station))
+            status_before = (station.trusted, station.notice_at is None, self.silent(station))
             fresh = absorb(station, report, now, checkin)
             if fresh and before is not station.entries:
-                self._index(station.id, before, station.entries)
+                self._index_report(station.id, before, station.entries)
         if not fresh:
             return
         progressed = before is not station.entries and before != station.entries
         if progressed:
-            task_log.progress(station, before)
-        if not checkin or (progressed and _exited(before) != _exited(station.entries)):
+            task_log.log_progress(station, before)
+        if not checkin or (progressed and _exited_tasks(before) != _exited_tasks(station.entries)):
             self._dirty.add(station.id)
             self._wake.set()
         # Most reports contain no change; recomputing the credit for each would use a whole core.
-        stands = (station.trusted, station.notice_at is None, self.silent(station))
-        if progressed or stood != stands:
+        status = (station.trusted, station.notice_at is None, self.silent(station))
+        if progressed or status_before != status:
             self.changed(station.id)
 
-    def _index(
-        self, machine: str, before: dict[TaskId, Entry], entries: dict[TaskId, Entry]
+    def _index_report(
+        self, machine: str, before: dict[TaskId, TaskStatus], entries: dict[TaskId, TaskStatus]
     ) -> None:
         old, new = {job for job, _ in before}, {job for job, _ in entries}
         for job in old - new:
-            machines = self._reported.get(job, set())
+            machines = self._machines_by_job.get(job, set())
             machines.discard(machine)
             if not machines:
-                self._reported.pop(job, None)
+                self._machines_by_job.pop(job, None)
         for job in new - old:
-            self._reported.setdefault(job, set()).add(machine)
+            self._machines_by_job.setdefault(job, set()).add(machine)
 
     # --- planning -------------------------------------------------------------------------
-    def _is_settled(self, station: Station, now: float) -> bool:
+    def _is_reconciled(self, station: Station, now: float) -> bool:
         """Whether planning can be skipped, as the plan would be empty.
 
         Cancellations known only from another node's heartbeat mark no machine as changed, so
         nothing is skipped while there are any.
         """
         relayed = self._membership.relayed_cancels()
-        return not relayed and is_settled(station, now, self._times.lease_s)
+        return not relayed and is_reconciled(station, now, self._times.lease_s)
 
     def _plan(self, station: Station) -> Plan:
         now = self._clock.now()
-        if self._is_settled(station, now):
+        if self._is_reconciled(station, now):
             return Plan()
         with self._lock:
             plan = reconcile(
                 station,
-                wanted(self._replica, station.id, self._membership.relayed_cancels()),
+                desired_tasks(self._replica, station.id, self._membership.relayed_cancels()),
                 now,
                 self._times.lease_s,
                 partial(self._keeping.alone, station),
-                self.ends.pending,
+                self.exits.pending,
             )
             if station.busy:
                 # Nothing is started or cleared while an order is in flight, which may take
@@ -323,12 +325,12 @@
                 plan.calls = [call for call in plan.calls if call["call"] == "kill"]
                 plan.runs = []
         for gone in plan.exits:
-            self.ends.record(station, gone)
+            self.exits.record(station, gone)
         return plan
 
     def _replan(self, machine: str) -> None:
         """Plans the machine again: an exit was written or dropped, or an order was not sent."""
-        self._touch(machine)
+        self._mark_changed(machine)
         self._wake.set()
 
     # --- direct orders ----------------------------------------------------------------------
@@ -341,17 +343,17 @@
             pass
         self._wake.clear()
         now = self._clock.now()
-        if now - self._looked_at >= c.LOOK_ROUND_S:
+        if now - self._full_round_at >= c.LOOK_ROUND_S:
             # Leases expire and kills are repeated without any change that marks the machine.
-            self._looked_at = now
+            self._full_round_at = now
             self._dirty.update(self.stations)
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
             station = self.stations.get(machine)
             if station is not None and not station.busy:
-                self._look(station)
+                self._reconcile_machine(station)
 
-    def _look(self, station: Station) -> None:
+    def _reconcile_machine(self, station: Station) -> None:
         if not self._membership.is_member:
             return
         if not station.trusted:
@@ -363,7 +365,7 @@
             self._plan(station)
             return
         plan = self._plan(station)
-        if station.is_misunderstood:
+        if station.last_answer_invalid:
             # The effect of orders on this machine is unknown. Answers to its check-ins carry the
             # commands until it answers a probe correctly.
             forget_kills(station, plan.calls)
@@ -373,21 +375,23 @@
             sent.fence is not None and not sent.settled for sent in station.sent.values()
         ):
             for start in plan.runs:
-                station.sent[start] = Sent(station.session, 0, direct=True)
-            self.commanding.give(station, urgent, plan.runs)
+                station.sent[start] = SentStart(station.session, 0, direct=True)
+            self.commanding.send(station, urgent, plan.runs)
 
-    def _take_answer(
-        self, station: Station, report: m.Report, before: incarnation.Known | None
+    def _on_order_report(
+        self, station: Station, report: m.Report, before: incarnation.KnownState | None
     ) -> None:
         if self.stations.get(station.id) is not station:
             return
-        if incarnation.begins_anew(before, report):
+        if incarnation.has_restarted(before, report):
             log.info("machine %s restarted without its tasks", station.id)
             token = views.token(self._membership.epoch, station.fence + 1)
-            new = incarnation.next_life(station, self._bound(station.id), token, self._clock.now())
+            new = incarnation.state_after_restart(
+                station, self._bound_attempts(station.id), token, self._clock.now()
+            )
             with self._lock:
                 self.stations[station.id] = new
-                self._index(station.id, station.entries, {})
+                self._index_report(station.id, station.entries, {})
             station = new
         self._take(station, report, checkin=False)
         if not station.trusted:
--- a/pulleydeal/workers/station.py
+++ b/pulleydeal/workers/station.py
@@ -13,11 +13,11 @@
 from pulleydeal.workers import messages as m
 
 TaskId = tuple[str, int]
-Start = tuple[str, int, int]  # job, index, attempt
+AttemptId = tuple[str, int, int]  # job, index, attempt
 
 
 @dataclass(slots=True)
-class Entry:
+class TaskStatus:
     """A task as the machine last reported it."""
 
     attempt: int
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class SentStart:
     """A `run` command that was sent, and what would prove its outcome.
 
     Once `settled`, a report without the task proves that it does not run.
@@ -56,12 +56,12 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class DesiredTask:
     """A task bound to the machine in the stored state."""
 
     task: Task
     spec: JobSpec
-    over: str = ""  # reason why no task of this attempt may run any more; empty: it may
+    end_reason: str = ""  # reason why no task of this attempt may run any more; empty: it may
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
     spot: bool
     since: float  # steady time from which this node has owned the machine
     floor: int  # lowest token that proves a report was made after the takeover
-    inherited: set[Start]  # bindings that an earlier owner may have started
+    inherited: set[AttemptId]  # bindings that an earlier owner may have started
     addr: str = ""
     fence: int = 0
     session: int = 0
@@ -85,20 +85,20 @@
     notice_at: float | None = None  # steady time at which the cloud reclaims the spot machine
     heard_at: float | None = None  # steady time of the last report of any kind
     checkin_at: float | None = None  # steady time of the last check-in that was not outdated
-    mute_since: float | None = None  # since then it has answered orders but not checked in
+    no_checkin_since: float | None = None  # since then it has answered orders but not checked in
     answered_at: float | None = None  # steady time of the last check-in answered with 200
-    entries: dict[TaskId, Entry] = field(default_factory=dict)
-    sent: dict[Start, Sent] = field(default_factory=dict)
-    seen: set[Start] = field(default_factory=set)
-    killed_at: dict[tuple[Start, bool], float] = field(default_factory=dict)
-    errors: list[tuple[float, Start]] = field(default_factory=list)
+    entries: dict[TaskId, TaskStatus] = field(default_factory=dict)
+    sent: dict[AttemptId, SentStart] = field(default_factory=dict)
+    seen: set[AttemptId] = field(default_factory=set)
+    killed_at: dict[tuple[AttemptId, bool], float] = field(default_factory=dict)
+    errors: list[tuple[float, AttemptId]] = field(default_factory=list)
     busy: bool = False  # a direct order is in flight
     unanswered_since: float | None = None  # orders get no answer since then; None: the last one did
-    is_misunderstood: bool = False  # the answer to the last order was not valid
+    last_answer_invalid: bool = False  # the answer to the last order was not valid
     wrong_answers: Counter[str] = field(default_factory=Counter)  # invalid ones, by reason
-    reported: list[m.ReportedTask] = field(default_factory=list)  # of the last accepted report
+    raw_tasks: list[m.ReportedTask] = field(default_factory=list)  # of the last accepted report
     # The last plan was empty, and none of its inputs has changed since.
-    settled: bool = False
+    reconciled: bool = False
 
     @property
     def trusted(self) -> bool:
@@ -123,12 +123,12 @@
     s.addr = report.addr
     s.heard_at = now
     if checkin:
-        s.checkin_at, s.mute_since = now, None
-    elif s.mute_since is None:
-        s.mute_since = now
+        s.checkin_at, s.no_checkin_since = now, None
+    elif s.no_checkin_since is None:
+        s.no_checkin_since = now
     s.notice_at = now + report.notice_s if report.notice_s is not None else None
-    if report.tasks != s.reported:
-        _take_tasks(s, report.tasks)
+    if report.tasks != s.raw_tasks:
+        _update_tasks(s, report.tasks)
     for start, sent in s.sent.items():
         if sent.settled:
             continue
@@ -145,10 +145,10 @@
     return True
 
 
-def _take_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
+def _update_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
     """Replaces the task states. Called only if they changed, as most reports repeat the last."""
-    s.reported = tasks
-    s.settled = False
+    s.raw_tasks = tasks
+    s.reconciled = False
     s.entries = {}
     for t in tasks:
         try:
@@ -156,7 +156,7 @@
         except ValueError:
             continue
         why = m.WHY.get(t.why or "", t.why or "")
-        s.entries[task_id] = Entry(t.attempt, m.STATES[t.state], why, bool(t.saved))
+        s.entries[task_id] = TaskStatus(t.attempt, m.STATES[t.state], why, bool(t.saved))
         s.seen.add((*task_id, t.attempt))
 
 
@@ -185,31 +185,31 @@
     """What to do about one machine: commands to send and exits to record."""
 
     calls: list[dict[str, Any]] = field(default_factory=list)
-    runs: list[Start] = field(default_factory=list)
+    runs: list[AttemptId] = field(default_factory=list)
     exits: list[Exit] = field(default_factory=list)
-    repeats: bool = False  # must be planned again even if nothing changes
+    needs_replan: bool = False  # must be planned again even if nothing changes
 
     @property
     def is_empty(self) -> bool:
         """Nothing to send, to record or to plan again later."""
-        return not (self.calls or self.runs or self.exits or self.repeats)
+        return not (self.calls or self.runs or self.exits or self.needs_replan)
 
 
-def is_settled(s: Station, now: float, lease_s: float) -> bool:
+def is_reconciled(s: Station, now: float, lease_s: float) -> bool:
     """Whether a new plan would be empty too.
 
     With unchanged inputs only the expiry of the lease can change the plan.
     """
-    return s.settled and s.trusted and not lease_over(s, now, lease_s)
+    return s.reconciled and s.trusted and not lease_over(s, now, lease_s)
 
 
 def reconcile(
     s: Station,
-    wanted: dict[TaskId, Wanted],
+    desired: dict[TaskId, DesiredTask],
     now: float,
     lease_s: float,
     alone: Callable[[], bool] = lambda: True,
-    ending: Collection[Start] = (),
+    ending: Collection[AttemptId] = (),
 ) -> Plan:
     """Plans commands and exits by comparing the bindings with the machine's report.
 
@@ -217,53 +217,58 @@
     exit was decided and is still being written.
     """
     plan = Plan()
-    s.settled = False  # an empty plan without trust or after the lease does not predict the next
+    s.reconciled = False  # an empty plan without trust or after the lease does not predict the next
     if lease_over(s, now, lease_s):
         if not alone():
             return plan
-        for (job, index), want in wanted.items():
+        for (job, index), target in desired.items():
             why = "machine lost: its lease ran out"
-            plan.exits.append(_absent((job, index, want.task.attempt), s, "lost", why))
+            plan.exits.append(_exit_by_absence((job, index, target.task.attempt), s, "lost", why))
         return plan
     if not s.trusted:
         return plan
-    for (job, index), want in wanted.items():
-        _one(s, (job, index, want.task.attempt), want, now, plan, ending)
+    for (job, index), target in desired.items():
+        _reconcile_task(s, (job, index, target.task.attempt), target, now, plan, ending)
     for (job, index), entry in s.entries.items():
-        bound = wanted.get((job, index))
+        bound = desired.get((job, index))
         if bound is not None and bound.task.attempt == entry.attempt:
             continue
         start = (job, index, entry.attempt)
         sent = s.sent.get(start)
         if entry.state != "exited":
-            _kill(s, start, 0.0, now, plan)
+            _plan_kill(s, start, 0.0, now, plan)
         elif sent is None or sent.settled:
             # Unbound durably, and no `run` for it can still arrive.
             plan.calls.append(m.clear(*start))
-    for start in [k for k in s.sent if k[:2] not in wanted and s.sent[k].settled]:
+    for start in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
         del s.sent[start]
     # The outcome of an order or a start in flight will change the plan.
-    on_its_way = s.busy or not all(sent.settled for sent in s.sent.values())
-    s.settled = plan.is_empty and not on_its_way
+    in_flight = s.busy or not all(sent.settled for sent in s.sent.values())
+    s.reconciled = plan.is_empty and not in_flight
     return plan
 
 
-def _one(
-    s: Station, start: Start, want: Wanted, now: float, plan: Plan, ending: Collection[Start]
+def _reconcile_task(
+    s: Station,
+    start: AttemptId,
+    target: DesiredTask,
+    now: float,
+    plan: Plan,
+    ending: Collection[AttemptId],
 ) -> None:
     job, index, attempt = start
     entry = s.entries.get((job, index))
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
-            outcome = _outcome(entry)
+            outcome = _exit_outcome(entry)
             # The machine only reports that it was stopped; users and operators see why.
-            ordered = entry.why in ("stopped", "peers") and want.over
-            detail = want.task.stop or ordered or entry.why
+            ordered = entry.why in ("stopped", "peers") and target.end_reason
+            detail = target.task.stop or ordered or entry.why
             plan.exits.append(Exit(job, index, attempt, s.id, outcome, detail))
-        elif want.over:
-            _kill(s, start, 0.0, now, plan)
-        elif want.task.stop:
-            _kill(s, start, want.spec.save_s + 1.0, now, plan)
+        elif target.end_reason:
+            _plan_kill(s, start, 0.0, now, plan)
+        elif target.task.stop:
+            _plan_kill(s, start, target.spec.save_s + 1.0, now, plan)
         return
     if entry is not None and entry.state != "exited":
         return  # another attempt still runs here; `reconcile` kills it
@@ -273,26 +278,28 @@
     if sent is not None or start in s.inherited or start in s.seen:
         # Absent from a report made after the last moment at which its `run` could take effect.
         why = "never came up" if start not in s.seen else "vanished: the machine lost its lease"
-        plan.exits.append(_absent(start, s, "lost", want.task.stop or why))
+        plan.exits.append(_exit_by_absence(start, s, "lost", target.task.stop or why))
     elif start in ending:
         # The exit was decided because the start was never sent, and waits to be written. If the
         # start were sent now, the task would run here and be started elsewhere as well.
-        plan.repeats = True
-    elif want.over or want.task.stop:
-        plan.exits.append(_absent(start, s, "stopped", want.task.stop or want.over))
+        plan.needs_replan = True
+    elif target.end_reason or target.task.stop:
+        plan.exits.append(
+            _exit_by_absence(start, s, "stopped", target.task.stop or target.end_reason)
+        )
     elif s.unanswered_since is not None and now - s.unanswered_since > c.UNREACHED_S:
         # No command with this start was ever sent.
-        plan.exits.append(_absent(start, s, "lost", "its machine hears no order"))
+        plan.exits.append(_exit_by_absence(start, s, "lost", "its machine hears no order"))
     else:
         plan.calls.append(m.run(*start))
         plan.runs.append(start)
 
 
-def _absent(start: Start, s: Station, outcome: str, detail: str) -> Exit:
+def _exit_by_absence(start: AttemptId, s: Station, outcome: str, detail: str) -> Exit:
     return Exit(*start, s.id, outcome, detail, by_absence=True)
 
 
-def _outcome(entry: Entry) -> str:
+def _exit_outcome(entry: TaskStatus) -> str:
     if entry.why in ("no room", "busy", "unknown"):
         return "refused"
     if entry.why == "stopped":
@@ -300,9 +307,9 @@
     return entry.why or "lost"
 
 
-def _kill(s: Station, start: Start, grace_s: float, now: float, plan: Plan) -> None:
+def _plan_kill(s: Station, start: AttemptId, grace_s: float, now: float, plan: Plan) -> None:
     key = (start, grace_s > 0)
-    plan.repeats = True
+    plan.needs_replan = True
     if now - s.killed_at.get(key, -1e9) < c.KILL_REPEAT_S:
         return
     entry = s.entries[start[:2]]
@@ -320,15 +327,15 @@
             s.killed_at.pop((start, call["ease_s"] > 0), None)
 
 
-Blame = Literal["job", "machine", "open"]  # the known cause of a failure; "open": not known yet
+FailureCause = Literal["job", "machine", "open"]  # of a failure; "open": unknown yet
 
 
-def is_sick(s: Station, now: float, blame: Callable[[str, int], Blame]) -> bool:
+def is_sick(s: Station, now: float, cause_of: Callable[[str, int], FailureCause]) -> bool:
     """Whether the machine caused the task failures seen on it lately.
 
-    `blame`: called with a job and how often it failed here. Jobs for which the cause is still open
-    count too, but one more job must have failed unless some job is known to work elsewhere: two
-    faulty jobs, which fail on every machine, had healthy machines drained one after the other.
+    `cause_of`: called with a job and how often it failed here. Jobs whose cause is still open count
+    too, but one more job must have failed unless some job is known to work elsewhere: two faulty
+    jobs, which fail on every machine, had healthy machines drained one after the other.
     """
     if not s.errors:
         return False
@@ -336,7 +343,7 @@
     failed = Counter(start[0] for _, start in s.errors)
     if failed.total() < c.SICK_ERRORS or len(failed) < c.SICK_JOBS:
         return False
-    found = {job: blame(job, n) for job, n in failed.items()}
+    found = {job: cause_of(job, n) for job, n in failed.items()}
     count = Counter(found.values())
     jobs = count["machine"] + count["open"]
     enough = jobs >= (c.SICK_JOBS if count["machine"] else c.SICK_JOBS + 1)
--- a/pulleydeal/workers/task_log.py
+++ b/pulleydeal/workers/task_log.py
@@ -2,12 +2,12 @@
 
 import logging
 
-from pulleydeal.workers.station import Entry, Station, TaskId
+from pulleydeal.workers.station import Station, TaskId, TaskStatus
 
 log = logging.getLogger("pulleydeal.workers")
 
 
-def progress(station: Station, before: dict[TaskId, Entry]) -> None:
+def log_progress(station: Station, before: dict[TaskId, TaskStatus]) -> None:
     for task_id, entry in station.entries.items():
         old = before.get(task_id)
         if entry.state != "exited" and (old is None or old.state != entry.state):
--- a/pulleydeal/workers/wanted.py
+++ b/pulleydeal/workers/wanted.py
@@ -4,10 +4,12 @@
 
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.station import TaskId, Wanted
+from pulleydeal.workers.station import DesiredTask, TaskId
 
 
-def wanted(replica: Replica, machine: str, relayed: Collection[str]) -> dict[TaskId, Wanted]:
+def desired_tasks(
+    replica: Replica, machine: str, relayed: Collection[str]
+) -> dict[TaskId, DesiredTask]:
     """The bindings of a machine.
 
     `relayed`: cancelled jobs that another node announced and the local copy may not show yet.
@@ -17,14 +19,14 @@
         job = replica.jobs[task_id[0]]
         if job.spec is None:
             continue
-        over = ""
+        end_reason = ""
         if job.id in relayed or job.is_cancelled:
-            over = "cancelled by its user"
+            end_reason = "cancelled by its user"
         elif not job.is_open:
-            over = "its job is done"
+            end_reason = "its job is done"
         elif job.spec.kind == "gang" and _is_broken(replica, task_id, task):
-            over = "its gang lost a task"
-        found[task_id] = Wanted(task, job.spec, over)
+            end_reason = "its gang lost a task"
+        found[task_id] = DesiredTask(task, job.spec, end_reason)
     return found
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -15,13 +15,13 @@
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.commands import CommandRight, Lapse, Order, lapse
-from pulleydeal.workers.station import Sent, Station
+from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
+from pulleydeal.workers.station import SentStart, Station
 from standins.net import Host, Network, VirtualLoop, on_host
 from tests.test_pending_end import SlowStore, bound_job
 from tests.test_workers import machine, report, workers
 
-RIGHT = CommandRight(epoch=3, token=3 << 24, session=1)
+AUTHORITY = CommandAuthority(epoch=3, token=3 << 24, session=1)
 START = ("j-1", 0, 1)
 ADDRESS = "10.1.0.1:9000"
 
@@ -33,25 +33,28 @@
 @pytest.mark.parametrize(
     ("now", "bound", "why"),
     [
-        (RIGHT, True, None),
-        (CommandRight(4, 4 << 24, 1), True, Lapse.EPOCH),
-        (CommandRight(3, (3 << 24) + 1, 1), True, Lapse.TOKEN),
-        (CommandRight(3, 3 << 24, 2), True, Lapse.SESSION),
-        (RIGHT, False, Lapse.BINDING),
+        (AUTHORITY, True, None),
+        (CommandAuthority(4, 4 << 24, 1), True, WithdrawalReason.EPOCH),
+        (CommandAuthority(3, (3 << 24) + 1, 1), True, WithdrawalReason.TOKEN),
+        (CommandAuthority(3, 3 << 24, 2), True, WithdrawalReason.SESSION),
+        (AUTHORITY, False, WithdrawalReason.BINDING),
     ],
 )
 def test_an_order_lapses_with_any_part_of_its_right(
-    now: CommandRight, bound: bool, why: Lapse | None
+    now: CommandAuthority, bound: bool, why: WithdrawalReason | None
 ) -> None:
     owned = station()
-    assert lapse(Order(owned, RIGHT, [], [START], 0.0), owned, now, bound) is why
+    assert withdrawal_reason(Order(owned, AUTHORITY, [], [START], 0.0), owned, now, bound) is why
 
 
 @pytest.mark.parametrize("owned", [None, station()])
 def test_an_order_lapses_with_the_tenure_even_if_the_same_node_owns_the_machine_again(
     owned: Station | None,
 ) -> None:
-    assert lapse(Order(station(), RIGHT, [], [START], 0.0), owned, RIGHT, True) is Lapse.TENURE
+    assert (
+        withdrawal_reason(Order(station(), AUTHORITY, [], [START], 0.0), owned, AUTHORITY, True)
+        is WithdrawalReason.TENURE
+    )
 
 
 class Machine:
@@ -89,12 +92,12 @@
         world.put(r.machine_key("vm-1"), machine("up"))
         await slice_.checkin(report("vm-1", 1))
         bound_job(world)
-        slots = slice_.commanding.orders._orders
+        slots = slice_.commanding.orders._order_slots
         for _ in range(c.ORDERS_IN_FLIGHT):
             await slots.acquire()
         owned = slice_.stations["vm-1"]
-        owned.sent[START] = Sent(1, 0, direct=True)
-        slice_.commanding.give(owned, [m.run(*START)], [START])
+        owned.sent[START] = SentStart(1, 0, direct=True)
+        slice_.commanding.send(owned, [m.run(*START)], [START])
         await asyncio.sleep(0.2)
         change(slice_, owned, world)
         await asyncio.sleep(hang_s - 0.2)
@@ -136,7 +139,7 @@
 
 
 def ending(slice_: Any, *_: Any) -> None:
-    slice_.ends.pending.add(START)
+    slice_.exits.pending.add(START)
 
 
 @pytest.mark.parametrize("change", [owned_anew, next_epoch, next_session, unbound, ending])
@@ -162,7 +165,7 @@
     assert target.bodies == []
     assert not slice_.stations["vm-1"].busy
     assert "vm-1" in slice_._dirty
-    withdrawn = slice_._metrics.orders_withdrawn.labels(Lapse.QUEUE.value)
+    withdrawn = slice_._metrics.orders_withdrawn.labels(WithdrawalReason.QUEUE.value)
     assert withdrawn._value.get() == 1
 
 
@@ -189,7 +192,7 @@
         owned = slice_.stations["vm-1"]
         owned.floor = 4 << 24
         busy.append(owned.busy)
-        slice_._look(owned)
+        slice_._reconcile_machine(owned)
 
     play_order(lambda slice_, owned, _: setattr(owned, "floor", 4 << 24), target, last=asked_again)
     assert busy == [True] and target.most_at_once == 1
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -41,19 +41,19 @@
 def test_a_checkin_that_the_present_life_did_not_make_is_doubted(
     heard: m.Report, at: float, doubted: bool
 ) -> None:
-    assert incarnation.doubtful(station(), heard, at) is doubted
+    assert incarnation.is_ambiguous(station(), heard, at) is doubted
 
 
 def test_only_an_answer_to_an_order_tells_that_a_machine_began_anew() -> None:
     s = station()
-    assert not incarnation.begins_anew(None, report(1, 1, 0))
-    before = incarnation.known(s)
-    assert not incarnation.begins_anew(before, report(2, 501, 70))
-    assert incarnation.begins_anew(before, report(1, 1, 0))
-    assert incarnation.begins_anew(before, report(2, 500, 70))
-    assert incarnation.begins_anew(before, report(2, 900, 0))
+    assert not incarnation.has_restarted(None, report(1, 1, 0))
+    before = incarnation.known_state(s)
+    assert not incarnation.has_restarted(before, report(2, 501, 70))
+    assert incarnation.has_restarted(before, report(1, 1, 0))
+    assert incarnation.has_restarted(before, report(2, 500, 70))
+    assert incarnation.has_restarted(before, report(2, 900, 0))
     # Nothing that the life before may still be sent is taken by the machine after that.
-    new = incarnation.next_life(s, {("j-1", 0, 1)}, 71, 20.0)
+    new = incarnation.state_after_restart(s, {("j-1", 0, 1)}, 71, 20.0)
     absorb(new, report(1, 2, 70), 20.0, checkin=False)
     assert not new.trusted
     absorb(new, report(1, 3, 71), 20.1, checkin=False)
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -14,8 +14,15 @@
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Sent, Station, Wanted, absorb, is_settled, reconcile
-from pulleydeal.workers.wanted import wanted
+from pulleydeal.workers.station import (
+    DesiredTask,
+    SentStart,
+    Station,
+    absorb,
+    is_reconciled,
+    reconcile,
+)
+from pulleydeal.workers.wanted import desired_tasks
 from standins.scenario import play
 from tests.test_station import LEASE_S, SPEC
 from tests.test_workers import Alone, report, workers
@@ -40,46 +47,48 @@
     return m.Report("vm-1", "1.2.3.4:5", "t4", "east", False, 1, seq, 0, None, found)
 
 
-def bound(over: str = "") -> dict[tuple[str, int], Wanted]:
-    return {TASK: Wanted(r.Task("vm-1", 1), SPEC, over)}
+def bound(end_reason: str = "") -> dict[tuple[str, int], DesiredTask]:
+    return {TASK: DesiredTask(r.Task("vm-1", 1), SPEC, end_reason)}
 
 
 def test_a_plan_that_found_nothing_settles_and_other_tasks_unsettle() -> None:
     station = known(RUNNING)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and is_settled(station, 2.5, LEASE_S)
+    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and is_reconciled(
+        station, 2.5, LEASE_S
+    )
     absorb(station, report_of(2, RUNNING), 3.0, checkin=True)
-    assert is_settled(station, 3.0, LEASE_S)
+    assert is_reconciled(station, 3.0, LEASE_S)
     absorb(station, report_of(3, ("j-1/0#1", "exited")), 4.0, checkin=True)
-    assert not is_settled(station, 4.0, LEASE_S)
+    assert not is_reconciled(station, 4.0, LEASE_S)
 
 
 def test_a_kill_that_did_not_work_is_given_again() -> None:
     station = known(RUNNING)
     assert reconcile(station, bound("cancelled"), 2.0, LEASE_S).calls
     assert not reconcile(station, bound("cancelled"), 3.0, LEASE_S).calls
-    assert not is_settled(station, 3.0, LEASE_S)
+    assert not is_reconciled(station, 3.0, LEASE_S)
     assert reconcile(station, bound("cancelled"), 4.1, LEASE_S).calls
 
 
 def test_an_empty_plan_before_trust_or_after_a_lease_settles_nothing() -> None:
     station = known()
     station.floor = 7
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
+    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
     station = known(RUNNING)
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty
-    assert not is_settled(station, 2.0 + 2 * LEASE_S, LEASE_S)
+    assert not is_reconciled(station, 2.0 + 2 * LEASE_S, LEASE_S)
     late = partial(reconcile, station, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
-    assert late(alone=lambda: False).is_empty and not station.settled
+    assert late(alone=lambda: False).is_empty and not station.reconciled
     assert late(alone=lambda: True).exits
 
 
 def test_a_start_that_is_on_its_way_settles_nothing() -> None:
     station = known()
-    station.sent[("j-1", 0, 1)] = Sent(1, 1)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
+    station.sent[("j-1", 0, 1)] = SentStart(1, 1)
+    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
     station = known(RUNNING)
     station.busy = True
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
+    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
 
 
 def test_a_cancellation_that_only_a_sibling_told_reaches_a_settled_machine() -> None:
@@ -99,7 +108,7 @@
         answer = asyncio.run(found.checkin(report("vm-1", tally, "j-1/0")))
         return [call["call"] for call in json.loads(answer.body)["calls"]]
 
-    assert calls(1) == calls(2) == [] and found.stations["vm-1"].settled
+    assert calls(1) == calls(2) == [] and found.stations["vm-1"].reconciled
     Told.relayed = {"j-1"}
     assert calls(3) == ["kill"]
 
@@ -107,20 +116,20 @@
 def checked(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
     """Whatever is passed over in a scenario is planned for all the same, on a copy."""
     told: Counter[str] = Counter()
-    passes_over = Workers._is_settled
+    passes_over = Workers._is_reconciled
 
-    def is_settled(self: Workers, station: Station, now: float) -> bool:
+    def is_reconciled(self: Workers, station: Station, now: float) -> bool:
         found = passes_over(self, station, now)
         if found:
             twin = copy.deepcopy(station)
             lease_s = self._times.lease_s
             alone = partial(self._keeping.alone, station)
-            should = wanted(self._replica, station.id, self._membership.relayed_cancels())
+            should = desired_tasks(self._replica, station.id, self._membership.relayed_cancels())
             plan = reconcile(twin, should, now, lease_s, alone)
             told["passed over" if plan.is_empty else "missed"] += 1
         return found
 
-    monkeypatch.setattr(Workers, "_is_settled", is_settled)
+    monkeypatch.setattr(Workers, "_is_reconciled", is_reconciled)
     return told
 
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -6,8 +6,8 @@
 
 from pulleydeal.store.records import JobSpec, Task
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.reachability import one_way_for_long
-from pulleydeal.workers.station import Sent, Start, Station, Wanted, absorb, reconcile
+from pulleydeal.workers.reachability import one_way_too_long
+from pulleydeal.workers.station import AttemptId, DesiredTask, SentStart, Station, absorb, reconcile
 
 LEASE_S = 14.0
 STATES = {"waiting": "gathering", "saving": "flushing"}
@@ -26,7 +26,7 @@
     return found
 
 
-def start(text: str) -> Start:
+def start(text: str) -> AttemptId:
     name, _, attempt = text.partition("#")
     job, index = m.split_task(name)
     return job, index, int(attempt or 1)
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.station = Station("vm-1", "t4", "east", False, self.now, 0, set())
-        self.wanted: dict[tuple[str, int], Wanted] = {}
+        self.desired: dict[tuple[str, int], DesiredTask] = {}
 
     def event(self, words: list[str]) -> None:
         s, verb = self.station, words[0]
@@ -47,19 +47,19 @@
             self.report(words)
         elif verb == "bind":
             job, index, attempt = start(words[1])
-            self.wanted[(job, index)] = Wanted(Task("vm-1", attempt), SPEC)
+            self.desired[(job, index)] = DesiredTask(Task("vm-1", attempt), SPEC)
         elif verb == "unbind":
-            del self.wanted[start(words[1])[:2]]
+            del self.desired[start(words[1])[:2]]
         elif verb == "cancel":
-            for key, want in self.wanted.items():
+            for key, want in self.desired.items():
                 if key[0] == words[1]:
-                    want.over = "cancelled"
+                    want.end_reason = "cancelled"
         elif verb == "stop":
-            self.wanted[start(words[1])[:2]].task.stop = "for a test"
+            self.desired[start(words[1])[:2]].task.stop = "for a test"
         elif verb == "sent" and words[1] == "checkin":
-            s.sent[start(words[2])] = Sent(s.session, int(words[4]))
+            s.sent[start(words[2])] = SentStart(s.session, int(words[4]))
         elif verb == "sent":
-            s.sent[start(words[2])] = Sent(s.session, 0, direct=True)
+            s.sent[start(words[2])] = SentStart(s.session, 0, direct=True)
         elif verb == "unanswered":
             s.sent[start(words[1])].direct = False
             s.sent[start(words[1])].fence = int(words[3])
@@ -102,7 +102,7 @@
         absorb(self.station, report, self.now, checkin=True)
 
     def decisions(self) -> list[str]:
-        plan = reconcile(self.station, self.wanted, self.now, LEASE_S)
+        plan = reconcile(self.station, self.desired, self.now, LEASE_S)
         said = []
         for call in plan.calls:
             grace = f" {call['ease_s']:g}" if call["call"] == "kill" else ""
@@ -131,15 +131,15 @@
     """Runs were tried again for as long as it heard nothing, and their tasks waited for it."""
     s = Station("m", "t4", "east", False, 0.0, 5, set())
     s.heard_at, s.seen_token, s.unanswered_since = 10.0, 5, 10.0
-    wanted = {("j-1", 0): Wanted(Task("m", 1), SPEC)}
-    assert reconcile(s, wanted, 12.0, 14.0).runs == [("j-1", 0, 1)]
-    plan = reconcile(s, wanted, 15.0, 14.0)
+    desired = {("j-1", 0): DesiredTask(Task("m", 1), SPEC)}
+    assert reconcile(s, desired, 12.0, 14.0).runs == [("j-1", 0, 1)]
+    plan = reconcile(s, desired, 15.0, 14.0)
     assert plan.runs == [] and [gone.outcome for gone in plan.exits] == ["lost"]
-    s.sent[("j-1", 0, 1)] = Sent(1, 0, fence=9)  # one that may still come is waited for
-    assert reconcile(s, wanted, 15.0, 14.0).exits == []
+    s.sent[("j-1", 0, 1)] = SentStart(1, 0, fence=9)  # one that may still come is waited for
+    assert reconcile(s, desired, 15.0, 14.0).exits == []
     s.sent.clear()
     s.inherited = {("j-1", 0, 1)}  # or that an earlier owner may have sent: only a report tells
-    assert reconcile(s, wanted, 15.0, 14.0).exits[0].detail == "never came up"
+    assert reconcile(s, desired, 15.0, 14.0).exits[0].detail == "never came up"
 
 
 def test_machines_that_hear_nothing_are_given_back_few_at_a_time() -> None:
@@ -150,7 +150,7 @@
 
     heard = [Station(f"h{i}", "t4", "east", False, 0.0, 5, set()) for i in range(9)]
     one = [deaf("m-1", trusted=False), deaf("m-2", trusted=True)]
-    found = one_way_for_long([*heard, *one], 99.0, 3.0, 14.0)
+    found = one_way_too_long([*heard, *one], 99.0, 3.0, 14.0)
     assert found == ["m-1"]  # a token proves nothing yet
     many = [deaf(f"m-{i}", trusted=False) for i in range(20)]
-    assert one_way_for_long([*heard, *many], 99.0, 3.0, 14.0) == []  # the fault may be our own
+    assert one_way_too_long([*heard, *many], 99.0, 3.0, 14.0) == []  # the fault may be our own
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -11,10 +11,10 @@
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.commands import CommandRight, Order
+from pulleydeal.workers.commands import CommandAuthority, Order
 from pulleydeal.workers.keeping import Keeping
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Blame, Sent, Station, is_sick
+from pulleydeal.workers.station import FailureCause, SentStart, Station, is_sick
 
 
 class Alone:
@@ -115,10 +115,10 @@
         s.errors = [(10.0 + i, (job, i, 1)) for i, job in enumerate(jobs)]
 
     def sick(*wrong: str, good: str = "") -> bool:
-        def blame(job: str, _: int) -> Blame:
+        def cause_of(job: str, _: int) -> FailureCause:
             return "job" if job in wrong else "machine" if job == good else "open"
 
-        return is_sick(s, 20.0, blame)
+        return is_sick(s, 20.0, cause_of)
 
     fails("j-1", "j-1", "j-1")
     assert not sick()  # one job may be wrong
@@ -189,7 +189,7 @@
 
     async def ask() -> None:
         await slice_.checkin(report("vm-1", 40, "j-1/0", token=2 << 24))
-        slice_._look(slice_.stations["vm-1"])
+        slice_._reconcile_machine(slice_.stations["vm-1"])
 
     asyncio.run(ask())
     assert asked == ["vm-1"] and not slice_.stations["vm-1"].trusted
@@ -203,16 +203,18 @@
     world.put(r.machine_key("vm-1"), machine("up"))
     world.put(r.job_key("j-1"), r.JobRecord("open", 1, 0.0, spec))
     given_up: list[Any] = []
-    slice_.ends.record = lambda _, gone: given_up.append(gone.detail)  # type: ignore[method-assign]
+    slice_.exits.record = lambda _, task_exit: given_up.append(task_exit.detail)  # type: ignore[method-assign]
 
     async def ask() -> list[list[Any]]:
         await slice_.checkin(report("vm-1", 1))
         world.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
         station = slice_.stations["vm-1"]
         start = ("j-1", 0, 1)
-        station.sent[start] = Sent(1, 0, direct=True)
-        right = CommandRight(3, 3 << 24, 1)
-        slice_.commanding.orders._unsettle(Order(station, right, [], [start], 1.0), executed=True)
+        station.sent[start] = SentStart(1, 0, direct=True)
+        authority = CommandAuthority(3, 3 << 24, 1)
+        slice_.commanding.orders._handle_unconfirmed(
+            Order(station, authority, [], [start], 1.0), maybe_executed=True
+        )
         seen = []
         for tally, token in ((2, 3 << 24), (3, (3 << 24) + 1)):
             await slice_.checkin(report("vm-1", tally, token=token))
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -37,11 +37,19 @@
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.keeping import Keeping
 from pulleydeal.workers.outcomes import Outcome, read_answer
-from pulleydeal.workers.reachability import one_way_for_long
+from pulleydeal.workers.reachability import one_way_too_long
 from pulleydeal.workers.station import absorb
 from standins.net import Host, on_host
 from standins.script import LoopClock, virtually
-from tests.test_commands import ADDRESS, RIGHT, START, VirtualStore, nothing, play_order, station
+from tests.test_commands import (
+    ADDRESS,
+    AUTHORITY,
+    START,
+    VirtualStore,
+    nothing,
+    play_order,
+    station,
+)
 from tests.test_pending_end import SlowStore, bound_job
 from tests.test_workers import machine, report, workers
 
@@ -128,7 +136,7 @@
     status: int, session: int, token: int, outcome: Outcome
 ) -> None:
     body = msgspec.json.decode(report("vm-1", 2, token=token).body) | {"shift": session}
-    order = Order(station(), RIGHT, [], [START], 0.0)
+    order = Order(station(), AUTHORITY, [], [START], 0.0)
     assert read_answer(order, status, msgspec.json.encode(body)).outcome is outcome
 
 
@@ -184,17 +192,17 @@
     assert b"j-2/0" in answers[0] and b"j-1/0" not in answers[0]
     stations = [station]
     station.heard_at = station.checkin_at = 200.0
-    assert one_way_for_long(stations, 200.0, 3.0, 14.0) == []  # nor is it given back for that
+    assert one_way_too_long(stations, 200.0, 3.0, 14.0) == []  # nor is it given back for that
 
 
 def test_a_machine_is_commanded_directly_again_once_a_probe_is_understood() -> None:
-    for reply, is_misunderstood in (
+    for reply, last_answer_invalid in (
         (Response(200, b"[[["), True),
         (Response(200, report("vm-1", 2).body), False),
         (answer(500, {}), True),
     ):
         slice_ = play_order(nothing, Replies(reply))
-        assert slice_.stations["vm-1"].is_misunderstood is is_misunderstood
+        assert slice_.stations["vm-1"].last_answer_invalid is last_answer_invalid
         assert slice_.stations["vm-1"].unanswered_since is None
 
 
@@ -208,8 +216,8 @@
         await slice_.checkin(report("vm-1", 1, "j-9/0"))  # bound to nothing: told to stop
         world.clock_s += c.KILL_REPEAT_S + 0.1
         owned = slice_.stations["vm-1"]
-        owned.is_misunderstood = True
-        slice_._look(owned)
+        owned.last_answer_invalid = True
+        slice_._reconcile_machine(owned)
         return (await slice_.checkin(report("vm-1", 2, "j-9/0"))).body
 
     assert b'"kill"' in asyncio.run(day())
@@ -226,19 +234,19 @@
         def probe(self, owned: Any) -> None:
             self.asked.append(owned.id)
 
-    async def day(is_misunderstood: bool) -> list[str]:
+    async def day(last_answer_invalid: bool) -> list[str]:
         world, probes = SlowStore(), Probes()
         slice_ = workers(world)
         world.put(r.machine_key("vm-1"), machine("up"))
         await slice_.checkin(report("vm-1", 1))
-        slice_.stations["vm-1"].is_misunderstood = is_misunderstood
+        slice_.stations["vm-1"].last_answer_invalid = last_answer_invalid
         me: Any = world
         eviction = Eviction(me, me, slice_._times, me, slice_.stations, probes, Keeping(), set())  # type: ignore[arg-type]
         await eviction.tend()
         return probes.asked
 
-    assert asyncio.run(day(is_misunderstood=True)) == ["vm-1"]
-    assert asyncio.run(day(is_misunderstood=False)) == []
+    assert asyncio.run(day(last_answer_invalid=True)) == ["vm-1"]
+    assert asyncio.run(day(last_answer_invalid=False)) == []
 
 
 # --- the same of the state service and the cloud -------------------------------------------------
