--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The right to a command: taken with the decision, checked as it is sent; and what is logged."""
+"""The authority for a command: captured with the decision, checked before sending, logged."""
 
 import asyncio
 import gc
@@ -18,8 +18,8 @@
 from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
 from pulleydeal.workers.station import SentStart, Station
 from standins.net import Host, Network, VirtualLoop, on_host
-from tests.test_pending_end import SlowStore, bound_job
-from tests.test_workers import machine, report, workers
+from tests.test_pending_end import SlowStoreNode, bind_job
+from tests.test_workers import checkin_request, machine_record, make_workers
 
 AUTHORITY = CommandAuthority(epoch=3, token=3 << 24, session=1)
 START = ("j-1", 0, 1)
@@ -40,7 +40,7 @@
         (AUTHORITY, False, WithdrawalReason.BINDING),
     ],
 )
-def test_an_order_lapses_with_any_part_of_its_right(
+def test_order_is_withdrawn_when_any_part_of_its_authority_changed(
     now: CommandAuthority, bound: bool, why: WithdrawalReason | None
 ) -> None:
     owned = station()
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("owned", [None, station()])
-def test_an_order_lapses_with_the_tenure_even_if_the_same_node_owns_the_machine_again(
+def test_order_is_withdrawn_after_its_ownership_period_even_if_the_node_owns_the_machine_again(
     owned: Station | None,
 ) -> None:
     assert (
@@ -57,8 +57,8 @@
     )
 
 
-class Machine:
-    """A machine's address; counts what arrives and answers after `delay_s`."""
+class FakeMachine:
+    """A machine that records order bodies and answers 409 after `delay_s`."""
 
     def __init__(self, delay_s: float = 0.0) -> None:
         self.delay_s = delay_s
@@ -70,46 +70,48 @@
         return answer(409, {})
 
 
-class VirtualStore(SlowStore):
+class VirtualTimeNode(SlowStoreNode):
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
     wall = now
 
 
-def play_order(change: Any, machine_: Any, hang_s: float = 0.3, last: Any = None) -> Any:
-    """Gives an order while others hold all slots for `hang_s`; `change` happens as it waits, and
-    `last` when all is over."""
+def run_order(change: Any, machine_: Any, slots_busy_s: float = 0.3, at_end: Any = None) -> Any:
+    """Sends an order while others hold all slots for `slots_busy_s`; returns the `Workers`.
+
+    `change` is applied while the order waits; `at_end` is called after it was handled.
+    """
     network = Network(1)
     loop = VirtualLoop(network)
     asyncio.set_event_loop(loop)
-    world = VirtualStore()
+    node = VirtualTimeNode()
 
-    async def day() -> Any:
+    async def run() -> Any:
         on_host(Host("10.1.0.1", "east"), Server(machine_.handle, 10).start(ADDRESS))
         await asyncio.sleep(0.1)
-        slice_ = workers(world)
-        world.put(r.machine_key("vm-1"), machine("up"))
-        await slice_.checkin(report("vm-1", 1))
-        bound_job(world)
-        slots = slice_.commanding.orders._order_slots
+        workers = make_workers(node)
+        node.put(r.machine_key("vm-1"), machine_record("up"))
+        await workers.checkin(checkin_request("vm-1", 1))
+        bind_job(node)
+        slots = workers.commanding.orders._order_slots
         for _ in range(c.ORDERS_IN_FLIGHT):
             await slots.acquire()
-        owned = slice_.stations["vm-1"]
+        owned = workers.stations["vm-1"]
         owned.sent[START] = SentStart(1, 0, direct=True)
-        slice_.commanding.send(owned, [m.run(*START)], [START])
+        workers.commanding.send(owned, [m.run(*START)], [START])
         await asyncio.sleep(0.2)
-        change(slice_, owned, world)
-        await asyncio.sleep(hang_s - 0.2)
+        change(workers, owned, node)
+        await asyncio.sleep(slots_busy_s - 0.2)
         for _ in range(c.ORDERS_IN_FLIGHT):
             slots.release()
         await asyncio.sleep(0.2)
-        if last is not None:
-            last(slice_)
-        return slice_
+        if at_end is not None:
+            at_end(workers)
+        return workers
 
     try:
-        return loop.run_until_complete(on_host(Host("10.0.0.1", "east"), day()))
+        return loop.run_until_complete(on_host(Host("10.0.0.1", "east"), run()))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
@@ -118,102 +120,104 @@
         asyncio.set_event_loop(None)
 
 
-def nothing(*_: Any) -> None:
-    """The world stays as it is."""
+def no_change(*_: Any) -> None:
+    """For `run_order`: changes nothing while the order waits."""
 
 
-def owned_anew(slice_: Any, owned: Station, _: Any) -> None:
-    slice_.stations["vm-1"] = station()
+def new_ownership(workers: Any, owned: Station, _: Any) -> None:
+    workers.stations["vm-1"] = station()
 
 
-def next_epoch(_: Any, __: Any, world: Any) -> None:
-    world.epoch += 1
+def next_epoch(_: Any, __: Any, node: Any) -> None:
+    node.epoch += 1
 
 
 def next_session(_: Any, owned: Station, __: Any) -> None:
     owned.session += 1
 
 
-def unbound(_: Any, __: Any, world: SlowStore) -> None:
-    world.put(r.chunk_key("j-1", 0), [r.Task("", 1)])
+def unbind(_: Any, __: Any, node: SlowStoreNode) -> None:
+    node.put(r.chunk_key("j-1", 0), [r.Task("", 1)])
 
 
-def ending(slice_: Any, *_: Any) -> None:
-    slice_.exits.pending.add(START)
+def pending_exit(workers: Any, *_: Any) -> None:
+    workers.exits.pending.add(START)
 
 
-@pytest.mark.parametrize("change", [owned_anew, next_epoch, next_session, unbound, ending])
-def test_an_order_that_waited_is_not_sent_when_its_right_has_lapsed(change: Any) -> None:
-    target = Machine()
-    slice_ = play_order(change, target)
+@pytest.mark.parametrize("change", [new_ownership, next_epoch, next_session, unbind, pending_exit])
+def test_queued_order_is_not_sent_when_its_authority_is_no_longer_valid(change: Any) -> None:
+    target = FakeMachine()
+    workers = run_order(change, target)
     assert target.bodies == []
-    assert START not in slice_.stations["vm-1"].sent  # never sent, so it may be forgotten
-    assert not slice_.stations["vm-1"].busy
+    assert START not in workers.stations["vm-1"].sent  # never sent, so nothing is kept of it
+    assert not workers.stations["vm-1"].busy
 
 
-def test_an_order_that_waited_is_sent_while_its_right_holds() -> None:
-    target = Machine()
-    play_order(nothing, target)
+def test_queued_order_is_sent_while_its_authority_holds() -> None:
+    target = FakeMachine()
+    run_order(no_change, target)
     assert len(target.bodies) == 1
 
 
-def test_an_order_does_not_wait_longer_than_a_moment_for_machines_that_hang() -> None:
-    """It is planned anew, so the machine's next check-in can carry the commands."""
-    target = Machine()
+def test_order_is_withdrawn_after_the_queue_limit() -> None:
+    """It is planned again, so that the answer to the next check-in can carry the commands."""
+    target = FakeMachine()
 
-    slice_ = play_order(nothing, target, hang_s=c.ORDER_QUEUE_MOST_S + 0.5)
+    workers = run_order(no_change, target, slots_busy_s=c.ORDER_QUEUE_MOST_S + 0.5)
     assert target.bodies == []
-    assert not slice_.stations["vm-1"].busy
-    assert "vm-1" in slice_._dirty
-    withdrawn = slice_._metrics.orders_withdrawn.labels(WithdrawalReason.QUEUE.value)
+    assert not workers.stations["vm-1"].busy
+    assert "vm-1" in workers._dirty
+    withdrawn = workers._metrics.orders_withdrawn.labels(WithdrawalReason.QUEUE.value)
     assert withdrawn._value.get() == 1
 
 
-class Untrusted(Machine):
-    """Refuses orders; its token is below that of the takeover."""
+class UntrustedMachine(FakeMachine):
+    """Refuses orders with a token below that of the takeover."""
 
     def __init__(self) -> None:
         super().__init__(delay_s=0.15)
-        self.at_once = self.most_at_once = 0
+        self.concurrent = self.max_concurrent = 0
 
     async def handle(self, request: Request) -> Response:
-        self.at_once += 1
-        self.most_at_once = max(self.most_at_once, self.at_once)
+        self.concurrent += 1
+        self.max_concurrent = max(self.max_concurrent, self.concurrent)
         await super().handle(request)
-        self.at_once -= 1
-        return answer(409, msgspec.json.decode(report("vm-1", 2).body))
+        self.concurrent -= 1
+        return answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body))
 
 
-def test_a_machine_that_is_asked_again_by_an_answer_has_one_order_at_a_time() -> None:
-    target = Untrusted()
+def test_machine_has_one_order_at_a_time_when_an_answer_triggers_a_probe() -> None:
+    target = UntrustedMachine()
     busy: list[bool] = []
 
-    def asked_again(slice_: Any) -> None:
-        owned = slice_.stations["vm-1"]
+    def reconcile_again(workers: Any) -> None:
+        owned = workers.stations["vm-1"]
         owned.floor = 4 << 24
         busy.append(owned.busy)
-        slice_._reconcile_machine(owned)
+        workers._reconcile_machine(owned)
 
-    play_order(lambda slice_, owned, _: setattr(owned, "floor", 4 << 24), target, last=asked_again)
-    assert busy == [True] and target.most_at_once == 1
+    run_order(
+        lambda workers, owned, _: setattr(owned, "floor", 4 << 24), target, at_end=reconcile_again
+    )
+    assert busy == [True] and target.max_concurrent == 1
 
 
 # --- the decision log ---------------------------------------------------------------------------
-def test_each_start_and_end_is_one_line_with_the_token_as_sent(
+def test_each_start_and_end_is_one_line_with_the_sent_token(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO, logger="pulleydeal.decisions")
 
-    async def day() -> None:
-        world = SlowStore()
-        slice_ = workers(world)
-        world.put(r.machine_key("vm-1"), machine("up"))
-        await slice_.checkin(report("vm-1", 1))
-        bound_job(world)
-        await slice_.checkin(report("vm-1", 2))
-        await slice_.checkin(report("vm-1", 3))
+    async def run() -> None:
+        node = SlowStoreNode()
+        workers = make_workers(node)
+        node.put(r.machine_key("vm-1"), machine_record("up"))
+        await workers.checkin(checkin_request("vm-1", 1))
+        bind_job(node)
+        await workers.checkin(checkin_request("vm-1", 2))
+        await workers.checkin(checkin_request("vm-1", 3))
 
-    asyncio.run(day())
+    asyncio.run(run())
     lines = [record.getMessage() for record in caplog.records]
     entries = timeline.life("j-1/0", lines)
     assert [entry.action for entry in entries] == ["start", "end"]
@@ -230,7 +234,7 @@
     )
 
 
-def test_the_timeline_merges_logs_by_time_and_names_overlapping_attempts(
+def test_timeline_merges_logs_by_time_and_reports_overlapping_attempts(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     first = line(70.0, "end", 1, "vm-1", "lost: never came up") + line(71.0, "start", 1, "vm-1")
@@ -250,14 +254,14 @@
     assert main(["timeline", "j-1/0", str(tmp_path / "a.log")]) == 0
 
 
-def test_a_timeline_of_a_json_log_reads_the_same(tmp_path: Path) -> None:
+def test_timeline_reads_json_logs(tmp_path: Path) -> None:
     message = line(1, "start", 1, "vm-1").partition(": ")[2].strip()
     row = f'{{"level": "INFO", "message": "{message}", "job": "j-1"}}'
     entry = timeline.parse(row)
     assert entry is not None and entry.why == "order" and entry.at == 1.0
 
 
-def test_a_log_that_is_missing_or_says_nothing_of_the_task_is_a_clear_error(
+def test_timeline_reports_missing_logs_and_unknown_tasks(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "a.log").write_text(line(1, "start", 1, "vm-1"))
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -1,4 +1,4 @@
-"""Nodes and machines that are back at once: who is who, and which reports are news."""
+"""Restarts of nodes and machines: whether a report or record belongs to the current run."""
 
 import random
 from typing import Any
@@ -28,23 +28,23 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "at", "doubted"),
+    ("checkin", "at", "ambiguous"),
     [
-        (report(2, 501, 70), 13.0, False),  # the next one
+        (report(2, 501, 70), 13.0, False),  # the next report
         (report(3, 1, 70), 13.0, False),  # a new session keeps its token
-        (report(2, 499, 70), 10.2, False),  # overtaken by the answer of an order
-        (report(2, 499, 70), 13.0, True),  # a late copy, or a machine that forgot its tally
-        (report(1, 1, 0), 10.2, True),  # of no life that holds a token
-        (report(2, 501, 0), 13.0, True),  # it counts on, but holds no token
+        (report(2, 499, 70), 10.2, False),  # overtaken by the answer to an order
+        (report(2, 499, 70), 13.0, True),  # a delayed copy, or a machine that lost its report count
+        (report(1, 1, 0), 10.2, True),  # from a run without a token
+        (report(2, 501, 0), 13.0, True),  # its report count went on, but it holds no token
     ],
 )
-def test_a_checkin_that_the_present_life_did_not_make_is_doubted(
-    heard: m.Report, at: float, doubted: bool
+def test_checkin_that_the_current_run_may_not_have_sent_is_ambiguous(
+    checkin: m.Report, at: float, ambiguous: bool
 ) -> None:
-    assert incarnation.is_ambiguous(station(), heard, at) is doubted
+    assert incarnation.is_ambiguous(station(), checkin, at) is ambiguous
 
 
-def test_only_an_answer_to_an_order_tells_that_a_machine_began_anew() -> None:
+def test_restart_is_detected_from_the_answer_to_an_order() -> None:
     s = station()
     assert not incarnation.has_restarted(None, report(1, 1, 0))
     before = incarnation.known_state(s)
@@ -52,7 +52,7 @@
     assert incarnation.has_restarted(before, report(1, 1, 0))
     assert incarnation.has_restarted(before, report(2, 500, 70))
     assert incarnation.has_restarted(before, report(2, 900, 0))
-    # Nothing that the life before may still be sent is taken by the machine after that.
+    # Once the machine reports the raised token, it refuses orders sent before the restart.
     new = incarnation.state_after_restart(s, {("j-1", 0, 1)}, 71, 20.0)
     absorb(new, report(1, 2, 70), 20.0, checkin=False)
     assert not new.trusted
@@ -60,30 +60,30 @@
     assert new.trusted and new.fence == 1 and new.inherited == {("j-1", 0, 1)}
 
 
-def test_what_an_earlier_start_of_a_node_wrote_is_not_this_ones() -> None:
-    """Even if both drew the same name: it would act on that start's epoch, with its tokens."""
+def test_restarted_node_does_not_act_as_the_member_it_was_before() -> None:
+    """It would act in that epoch with its tokens, if both starts drew the same incarnation."""
 
-    class Told:
+    class FakeStore:
         replica = Replica()
 
         def on(self, kind: int, handler: object) -> None: ...
 
-    replica = Told.replica
+    replica = FakeStore.replica
     same = f"{random.Random(7).getrandbits(48):012x}"
     written = {r.VIEW: r.View(4, {"winch-0": same}), r.member_key("winch-0"): r.Member(same)}
     for version, (key, value) in enumerate(written.items(), 1):
         event = sm.Event(version, key, None, msgspec.Raw(msgspec.json.encode(value)))
         replica.apply(sm.Changes(version, [event]))
     settings: Any = type("S", (), {"node_name": "winch-0", "teams": {}})
-    told: Any = Told()
-    membership = Membership(settings, told, told, told, random.Random(7))
+    fake: Any = FakeStore()
+    membership = Membership(settings, fake, fake, fake, random.Random(7))
     assert membership.incarnation == same and not membership.is_member
     membership.enter()
     assert membership.incarnation != same and not membership.is_member
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_restarts_drawn_at_random_break_nothing(seed: int) -> None:
+def test_random_restarts_break_no_rule(seed: int) -> None:
     found = restarts.one(seed)
     assert (found["broken"], found["failures"], found["open"]) == ([], [], [])
     assert found["starts"] > 10
--- a/tests/test_order_answers.py
+++ b/tests/test_order_answers.py
@@ -1,7 +1,7 @@
-"""What an owner may conclude from answers to orders that it does not understand.
+"""What an owner may conclude from invalid answers to orders.
 
-An order may have been carried out whatever came back, but for a refusal (409). Until a newer report
-shows what became of its starts, none of them may be taken for absent (docs/incidents/
+Unless it was refused (409), an order may have been executed whatever the answer was. Until a newer
+report shows the outcome, none of its starts may be taken for absent (docs/incidents/
 ran-twice-at-size.md, hypothesis H2).
 """
 
@@ -10,10 +10,10 @@
 import msgspec
 
 from pulleydeal.http import Request, Response, answer
-from tests.test_commands import nothing, play_order
+from tests.test_commands import no_change, run_order
 
 
-def of_another_machine() -> Response:
+def report_of_another_machine() -> Response:
     body = {
         "block": "vm-2",
         "addr": "10.1.0.1:9000",
@@ -30,12 +30,12 @@
 
 ANSWERS = {
     "200 and nonsense": lambda: Response(200, b"[[["),
-    "200 and another machine's report": of_another_machine,
+    "200 and another machine's report": report_of_another_machine,
     "500": lambda: answer(500, {"error": "internal"}),
 }
 
 
-class Odd:
+class InvalidAnswers:
     def __init__(self, name: str) -> None:
         self.name = name
         self.bodies: list[bytes] = []
@@ -45,15 +45,15 @@
         return ANSWERS[self.name]()
 
 
-def test_a_start_is_not_taken_for_absent_by_an_answer_that_was_not_understood() -> None:
+def test_invalid_answer_does_not_prove_a_start_absent() -> None:
     plans = []
 
-    def plan(slice_: Any) -> None:
-        # Of a node that only knows what the machine said before the order.
-        plans.append(slice_._plan(slice_.stations["vm-1"]))
+    def plan(workers: Any) -> None:
+        # The node only has the machine's report from before the order.
+        plans.append(workers._plan(workers.stations["vm-1"]))
 
     for name in ANSWERS:
-        machine = Odd(name)
-        play_order(nothing, machine, last=plan)
+        machine = InvalidAnswers(name)
+        run_order(no_change, machine, at_end=plan)
         assert len(machine.bodies) == 1
     assert [(plan.exits, plan.runs) for plan in plans] == [([], [])] * len(ANSWERS)
--- a/tests/test_pending_end.py
+++ b/tests/test_pending_end.py
@@ -1,10 +1,8 @@
-"""No start is sent while the end of the same attempt waits to be written.
+"""No start is sent while the exit of the same attempt waits to be written.
 
-The account is in docs/incidents/ran-twice-at-size.md.
-
-A write may wait for seconds where the state service's rate is used up. The machine that could not
-be reached answers meanwhile; were the start sent to it then, the end that is written a moment later
-would free the task to start elsewhere.
+A write may wait for seconds when the state service's rate limit is reached. If the machine, which
+could not be reached, answered meanwhile and got the start, the exit written a moment later would
+let the task start elsewhere as well (docs/incidents/ran-twice-at-size.md).
 """
 
 import asyncio
@@ -16,11 +14,11 @@
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.limits import Limits
 from pulleydeal.workers.station import Station
-from tests.test_workers import Alone, machine, report, workers
+from tests.test_workers import FakeNode, checkin_request, machine_record, make_workers
 
 
-class SlowStore(Alone):
-    """Changes of jobs wait until the test lets them be written."""
+class SlowStoreNode(FakeNode):
+    """Queues changes of jobs until the test applies them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,58 +36,58 @@
         return future
 
 
-def bound_job(world: SlowStore) -> None:
+def bind_job(node: SlowStoreNode) -> None:
     spec = r.JobSpec("j-1", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
-    world.put(r.job_key("j-1"), r.JobRecord("open", 1, 0.0, spec))
-    world.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
-
-
-async def concluded(world: SlowStore) -> Any:
-    """The workers' slice of an owner that concluded that a start was never sent."""
-    slice_ = workers(world)
-    world.put(r.machine_key("vm-1"), machine("up"))
-    await slice_.checkin(report("vm-1", 1))
-    bound_job(world)
-    slice_.stations["vm-1"].unanswered_since = world.clock_s
-    world.clock_s += c.UNREACHED_S + 0.5
-    await slice_.checkin(report("vm-1", 2))
-    return slice_
-
-
-def written(world: SlowStore) -> str:
-    """On which machine the task is bound once the queued end was written."""
-    draft = Draft(world.replica.jobs["j-1"], world.replica, Limits(2_000, 8), world.clock_s)
-    for mutate, _ in world.queued:
+    node.put(r.job_key("j-1"), r.JobRecord("open", 1, 0.0, spec))
+    node.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
+
+
+async def workers_with_pending_exit(node: SlowStoreNode) -> Any:
+    """The `Workers` of an owner that has decided the exit of a start that it never sent."""
+    workers = make_workers(node)
+    node.put(r.machine_key("vm-1"), machine_record("up"))
+    await workers.checkin(checkin_request("vm-1", 1))
+    bind_job(node)
+    workers.stations["vm-1"].unanswered_since = node.clock_s
+    node.clock_s += c.UNREACHED_S + 0.5
+    await workers.checkin(checkin_request("vm-1", 2))
+    return workers
+
+
+def machine_after_write(node: SlowStoreNode) -> str:
+    """The machine that the task is bound to after the queued exit was written."""
+    draft = Draft(node.replica.jobs["j-1"], node.replica, Limits(2_000, 8), node.clock_s)
+    for mutate, _ in node.queued:
         mutate(draft)
     return draft.task(0).machine
 
 
-def test_an_end_by_absence_is_written_only_by_the_tenure_that_saw_it() -> None:
-    """Whoever owns the machine after that, even the same node, may have commanded it."""
+def test_exit_by_absence_is_written_only_in_the_ownership_period_that_saw_it() -> None:
+    """A later owner, even the same node, may have commanded the machine in between."""
 
-    async def day(another_tenure: bool) -> str:
-        world = SlowStore()
-        slice_ = await concluded(world)
-        if another_tenure:
-            slice_.stations["vm-1"] = Station("vm-1", "t4", "east", False, 1.0, 0, set())
-        return written(world)
+    async def run(new_ownership: bool) -> str:
+        node = SlowStoreNode()
+        workers = await workers_with_pending_exit(node)
+        if new_ownership:
+            workers.stations["vm-1"] = Station("vm-1", "t4", "east", False, 1.0, 0, set())
+        return machine_after_write(node)
 
-    assert asyncio.run(day(another_tenure=False)) == ""
-    assert asyncio.run(day(another_tenure=True)) == "vm-1"
+    assert asyncio.run(run(new_ownership=False)) == ""
+    assert asyncio.run(run(new_ownership=True)) == "vm-1"
 
 
-def test_a_start_whose_end_waits_to_be_written_is_not_sent() -> None:
-    async def day() -> tuple[int, list[bytes]]:
-        world = SlowStore()
-        # Orders to it got no connection for longer than allowed: the start was never sent.
-        slice_ = await concluded(world)
-        first = await slice_.checkin(report("vm-1", 3))
-        # It answers again before the end of the attempt is written.
-        slice_.stations["vm-1"].unanswered_since = None
-        world.clock_s += 0.5
-        second = await slice_.checkin(report("vm-1", 4))
-        return len(world.queued), [first.body, second.body]
+def test_start_with_a_pending_exit_is_not_sent() -> None:
+    async def run() -> tuple[int, list[bytes]]:
+        node = SlowStoreNode()
+        # Orders got no connection for longer than UNREACHED_S, and the start was never sent.
+        workers = await workers_with_pending_exit(node)
+        first = await workers.checkin(checkin_request("vm-1", 3))
+        # The machine answers again before the exit is written.
+        workers.stations["vm-1"].unanswered_since = None
+        node.clock_s += 0.5
+        second = await workers.checkin(checkin_request("vm-1", 4))
+        return len(node.queued), [first.body, second.body]
 
-    ends, answers = asyncio.run(day())
-    assert ends == 1
+    exit_count, answers = asyncio.run(run())
+    assert exit_count == 1
     assert [b'"run"' in body for body in answers] == [False, False]
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -1,4 +1,4 @@
-"""Machines of which nothing changed are not planned for anew: what must not be passed over."""
+"""Planning is skipped for machines whose last plan was empty, but never when it matters."""
 
 import asyncio
 import copy
@@ -25,14 +25,14 @@
 from pulleydeal.workers.wanted import desired_tasks
 from standins.scenario import play
 from tests.test_station import LEASE_S, SPEC
-from tests.test_workers import Alone, report, workers
+from tests.test_workers import FakeNode, checkin_request, make_workers
 
 TASK = ("j-1", 0)
 RUNNING = ("j-1/0#1", "running")
 
 
-def known(*tasks: tuple[str, str]) -> Station:
-    """A machine that has reported these tasks to an owner that it has answered."""
+def station_with_report(*tasks: tuple[str, str]) -> Station:
+    """A machine that reported these tasks in a check-in, which its owner answered."""
     station = Station("vm-1", "t4", "east", False, 0.0, 0, set())
     absorb(station, report_of(1, *tasks), 1.0, checkin=True)
     station.answered_at = 1.0
@@ -51,8 +51,8 @@
     return {TASK: DesiredTask(r.Task("vm-1", 1), SPEC, end_reason)}
 
 
-def test_a_plan_that_found_nothing_settles_and_other_tasks_unsettle() -> None:
-    station = known(RUNNING)
+def test_empty_plan_is_skipped_until_the_reported_tasks_change() -> None:
+    station = station_with_report(RUNNING)
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and is_reconciled(
         station, 2.5, LEASE_S
     )
@@ -62,19 +62,19 @@
     assert not is_reconciled(station, 4.0, LEASE_S)
 
 
-def test_a_kill_that_did_not_work_is_given_again() -> None:
-    station = known(RUNNING)
+def test_ineffective_kill_is_repeated() -> None:
+    station = station_with_report(RUNNING)
     assert reconcile(station, bound("cancelled"), 2.0, LEASE_S).calls
     assert not reconcile(station, bound("cancelled"), 3.0, LEASE_S).calls
     assert not is_reconciled(station, 3.0, LEASE_S)
     assert reconcile(station, bound("cancelled"), 4.1, LEASE_S).calls
 
 
-def test_an_empty_plan_before_trust_or_after_a_lease_settles_nothing() -> None:
-    station = known()
+def test_empty_plan_without_trust_or_after_the_lease_is_not_skipped() -> None:
+    station = station_with_report()
     station.floor = 7
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
-    station = known(RUNNING)
+    station = station_with_report(RUNNING)
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty
     assert not is_reconciled(station, 2.0 + 2 * LEASE_S, LEASE_S)
     late = partial(reconcile, station, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
@@ -82,65 +82,65 @@
     assert late(alone=lambda: True).exits
 
 
-def test_a_start_that_is_on_its_way_settles_nothing() -> None:
-    station = known()
+def test_plan_is_not_skipped_while_a_start_or_order_is_in_flight() -> None:
+    station = station_with_report()
     station.sent[("j-1", 0, 1)] = SentStart(1, 1)
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
-    station = known(RUNNING)
+    station = station_with_report(RUNNING)
     station.busy = True
     assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
 
 
-def test_a_cancellation_that_only_a_sibling_told_reaches_a_settled_machine() -> None:
-    class Told(Alone):
+def test_relayed_cancellation_reaches_a_reconciled_machine() -> None:
+    class NodeWithRelayedCancels(FakeNode):
         relayed: ClassVar[set[str]] = set()
 
         def relayed_cancels(self) -> set[str]:
             return self.relayed
 
-    world = Told()
-    found = workers(world)
-    world.put("p/j/j-1", r.JobRecord("open", 1, 0.0, SPEC))
-    world.put("p/m/vm-1", r.MachineRecord("up", "t4", "east", False, "1.2.3.4:5"))
-    world.put("p/c/j-1/0000", [r.Task("vm-1", 1)])
+    node = NodeWithRelayedCancels()
+    found = make_workers(node)
+    node.put("p/j/j-1", r.JobRecord("open", 1, 0.0, SPEC))
+    node.put("p/m/vm-1", r.MachineRecord("up", "t4", "east", False, "1.2.3.4:5"))
+    node.put("p/c/j-1/0000", [r.Task("vm-1", 1)])
 
     def calls(tally: int) -> list[str]:
-        answer = asyncio.run(found.checkin(report("vm-1", tally, "j-1/0")))
+        answer = asyncio.run(found.checkin(checkin_request("vm-1", tally, "j-1/0")))
         return [call["call"] for call in json.loads(answer.body)["calls"]]
 
     assert calls(1) == calls(2) == [] and found.stations["vm-1"].reconciled
-    Told.relayed = {"j-1"}
+    NodeWithRelayedCancels.relayed = {"j-1"}
     assert calls(3) == ["kill"]
 
 
-def checked(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """Whatever is passed over in a scenario is planned for all the same, on a copy."""
-    told: Counter[str] = Counter()
-    passes_over = Workers._is_reconciled
+def count_skipped_plans(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
+    """Makes a full plan on a copy whenever planning is skipped, and counts those not empty."""
+    counts: Counter[str] = Counter()
+    original = Workers._is_reconciled
 
     def is_reconciled(self: Workers, station: Station, now: float) -> bool:
-        found = passes_over(self, station, now)
+        found = original(self, station, now)
         if found:
-            twin = copy.deepcopy(station)
+            copied = copy.deepcopy(station)
             lease_s = self._times.lease_s
             alone = partial(self._keeping.alone, station)
-            should = desired_tasks(self._replica, station.id, self._membership.relayed_cancels())
-            plan = reconcile(twin, should, now, lease_s, alone)
-            told["passed over" if plan.is_empty else "missed"] += 1
+            desired = desired_tasks(self._replica, station.id, self._membership.relayed_cancels())
+            plan = reconcile(copied, desired, now, lease_s, alone)
+            counts["skipped" if plan.is_empty else "missed"] += 1
         return found
 
     monkeypatch.setattr(Workers, "_is_reconciled", is_reconciled)
-    return told
+    return counts
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nothing_is_missed_while_troubles_overlap(
+def test_no_skipped_plan_would_have_contained_anything(
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Restarts of nodes and machines, cuts, outages, late copies: several at a time."""
-    told = checked(monkeypatch)
+    """Runs overlapping restarts, partitions, outages and delayed copies."""
+    counts = count_skipped_plans(monkeypatch)
     path = tmp_path / "day.txt"
     path.write_text(restarts.scenario(seed))
     played = play(path, seed)
     assert not played.rules.broken and not played.failures
-    assert told["passed over"] > 1000 and not told["missed"], told
+    assert counts["skipped"] > 1000 and not counts["missed"], counts
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Who is given back for its silence: single dead machines soon, a cut zone's not."""
+"""Which silent machines are returned: single dead ones soon, those of a cut-off zone not."""
 
 import msgspec
 
@@ -26,65 +26,65 @@
     return found
 
 
-def given_back(stations: list[Station], now: float, silent_zone_at: dict[str, float]) -> list[str]:
+def to_return(stations: list[Station], now: float, silent_zone_at: dict[str, float]) -> list[str]:
     return [s.id for s in silent_too_long(stations, now, REPORT_S, LEASE_S, silent_zone_at)]
 
 
-def test_a_single_dead_machine_goes_as_soon_as_before() -> None:
+def test_single_dead_machine_is_returned_soon() -> None:
     stations = machines("east", [100.0] * 19 + [91.0]) + machines("west", [100.0] * 20)
-    assert given_back(stations, 100.0, {}) == ["east-19"]
-    assert given_back(stations, 91.0 + SOON, {}) == []
+    assert to_return(stations, 100.0, {}) == ["east-19"]
+    assert to_return(stations, 91.0 + SOON, {}) == []
 
 
-def test_a_zone_that_falls_silent_is_kept_from_the_first_machine_on() -> None:
-    """Silence comes machine by machine: each had reported at another moment before the cut."""
+def test_no_machine_of_a_silent_zone_is_returned() -> None:
+    """Machines fall silent one by one, as their last reports before a partition differ in time."""
     cut = 100.0
     stations = machines("east", [cut - 0.15 * i for i in range(20)])
     stations += machines("west", [cut + 30.0] * 20)
     for tenth in range(300):
         now = cut + tenth / 10
-        assert given_back(stations, now, {}) == []
+        assert to_return(stations, now, {}) == []
     assert silent_zones(stations, cut + 30, REPORT_S) == {"east"}
 
 
-def test_of_a_zone_out_of_sight_for_very_long_machines_go_all_the_same() -> None:
+def test_machines_of_a_zone_silent_for_very_long_are_returned() -> None:
     stations = machines("east", [0.0] * 5) + machines("west", [c.UNSEEN_KEEP_S + 1] * 9)
-    assert len(given_back(stations, c.UNSEEN_KEEP_S + 1, {})) == 5
+    assert len(to_return(stations, c.UNSEEN_KEEP_S + 1, {})) == 5
 
 
-def test_when_a_zone_comes_back_its_last_machines_have_their_full_time_again() -> None:
+def test_silence_limit_restarts_when_a_zone_comes_back() -> None:
     silent_zone_at: dict[str, float] = {}
     stations = machines("east", [100.0] * 10) + machines("west", [140.0] * 10)
-    assert given_back(stations, 140.0, silent_zone_at) == []
+    assert to_return(stations, 140.0, silent_zone_at) == []
     for station in stations[:9]:
         station.heard_at = 141.0
-    assert given_back(stations, 141.0, silent_zone_at) == []
+    assert to_return(stations, 141.0, silent_zone_at) == []
     for station in stations[:9] + stations[10:]:
         station.heard_at = 140.0 + SOON + 0.2
-    assert given_back(stations, 140.0 + SOON + 0.2, silent_zone_at) == ["east-9"]
+    assert to_return(stations, 140.0 + SOON + 0.2, silent_zone_at) == ["east-9"]
 
 
-def test_machines_taken_over_a_moment_ago_say_nothing_for_or_against_a_cut() -> None:
+def test_machines_just_taken_over_do_not_count_for_zone_silence() -> None:
     mine = machines("east", [95.0, 95.0, 95.0])
     taken = machines("east", [None] * 4, since=102.0)
     assert silent_zones(mine + taken, 104.0, REPORT_S) == {"east"}
 
 
-def test_a_node_that_hears_nobody_suspects_itself_and_leaves_it_to_the_lease() -> None:
+def test_node_that_hears_no_machine_returns_them_only_after_the_lease() -> None:
     stations = machines("east", [100.0] * 10) + machines("west", [100.0] * 10)
-    assert given_back(stations, 100.0 + LEASE_S, {}) == []
-    assert len(given_back(stations, 100.0 + LEASE_S + 0.1, {})) == 20
+    assert to_return(stations, 100.0 + LEASE_S, {}) == []
+    assert len(to_return(stations, 100.0 + LEASE_S + 0.1, {})) == 20
 
 
-def test_a_node_that_owns_no_machine_goes_by_what_the_others_see() -> None:
+def test_node_without_machines_uses_the_counts_of_other_owners() -> None:
     cut = [{"east": (9, 10), "west": (0, 9)}, {"east": (7, 8)}]
     assert out_of_sight([], 100.0, REPORT_S, cut) == {"east"}
     assert out_of_sight([], 100.0, REPORT_S, [{"east": (9, 10)}]) == set()
     assert out_of_sight([], 100.0, REPORT_S) == set()
 
 
-def test_machines_that_answer_but_reach_nobody_are_given_back_few_at_a_time() -> None:
-    """What is started there is lost with their lease, again and again."""
+def test_few_mute_machines_are_returned_but_several_are_kept() -> None:
+    """Tasks started there are lost at each lease expiry, again and again."""
 
     def report(tally: int) -> m.Report:
         raw = {
@@ -102,10 +102,10 @@
     others = [heard(f"h{i}", (60.0, True), (90.0, False), (98.0, True)) for i in range(9)]
     mute = heard("m-1", (70.0, True), (75.0, False), (98.0, False))
     assert without_checkin_s(mute, 99.0) == 29.0
-    back = heard("m-2", (40.0, True), (97.0, False))  # it was cut off, and answers first
-    fresh = heard("m-3", (81.0, True), (85.0, False))  # its lease may not be over
+    back = heard("m-2", (40.0, True), (97.0, False))  # answered before checking in again
+    fresh = heard("m-3", (81.0, True), (85.0, False))  # its lease may not have expired
     assert one_way_too_long([*others, mute, back, fresh], 99.0, 3.0, 14.0) == ["m-1"]
     several = [heard(f"m-{i}", (70.0, True), (75.0, False)) for i in range(c.SILENT_FEW + 1)]
-    assert one_way_too_long([*others, *several], 99.0, 3.0, 14.0) == []  # they may speak again
+    assert one_way_too_long([*others, *several], 99.0, 3.0, 14.0) == []  # they may recover
     late = 75.0 + c.UNSEEN_KEEP_S + 1
     assert len(one_way_too_long([*others, *several], late, 3.0, 14.0)) == len(several)
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -1,4 +1,4 @@
-"""Replays tests/traces/station.txt: events in, decisions out."""
+"""Replays the events in tests/traces/station.txt and compares the decisions; deaf machines."""
 
 from pathlib import Path
 
@@ -103,54 +103,54 @@
 
     def decisions(self) -> list[str]:
         plan = reconcile(self.station, self.desired, self.now, LEASE_S)
-        said = []
+        lines = []
         for call in plan.calls:
             grace = f" {call['ease_s']:g}" if call["call"] == "kill" else ""
-            said.append(f"-> {call['call']} {call['lift']}#{call['pull']}{grace}")
+            lines.append(f"-> {call['call']} {call['lift']}#{call['pull']}{grace}")
         for e in plan.exits:
             why = f" ({e.detail})" if e.detail in ("cancelled", "for a test") else ""
-            said.append(f"-> exit {e.job}/{e.index}#{e.attempt} {e.outcome}{why}")
-        return said
+            lines.append(f"-> exit {e.job}/{e.index}#{e.attempt} {e.outcome}{why}")
+        return lines
 
 
 @pytest.mark.parametrize(("title", "lines"), cases(), ids=[t for t, _ in cases()])
 def test_trace(title: str, lines: list[str]) -> None:
     replay = Replay()
-    heard: list[str] = []
+    output: list[str] = []
     for i, line in enumerate(lines):
         if line.startswith("->"):
             continue
         replay.event(line.split())
-        heard.append(line)
+        output.append(line)
         if i + 1 == len(lines) or not lines[i + 1].startswith("own"):
-            heard += replay.decisions()
-    assert heard == lines
+            output += replay.decisions()
+    assert output == lines
 
 
-def test_what_was_never_sent_to_a_machine_that_hears_nothing_starts_elsewhere() -> None:
-    """Runs were tried again for as long as it heard nothing, and their tasks waited for it."""
+def test_unsent_start_is_lost_when_orders_stay_unanswered() -> None:
+    """Starts were retried for as long as orders got no answer, and their tasks kept waiting."""
     s = Station("m", "t4", "east", False, 0.0, 5, set())
     s.heard_at, s.seen_token, s.unanswered_since = 10.0, 5, 10.0
     desired = {("j-1", 0): DesiredTask(Task("m", 1), SPEC)}
     assert reconcile(s, desired, 12.0, 14.0).runs == [("j-1", 0, 1)]
     plan = reconcile(s, desired, 15.0, 14.0)
-    assert plan.runs == [] and [gone.outcome for gone in plan.exits] == ["lost"]
-    s.sent[("j-1", 0, 1)] = SentStart(1, 0, fence=9)  # one that may still come is waited for
+    assert plan.runs == [] and [e.outcome for e in plan.exits] == ["lost"]
+    s.sent[("j-1", 0, 1)] = SentStart(1, 0, fence=9)  # may still be executed
     assert reconcile(s, desired, 15.0, 14.0).exits == []
     s.sent.clear()
-    s.inherited = {("j-1", 0, 1)}  # or that an earlier owner may have sent: only a report tells
+    s.inherited = {("j-1", 0, 1)}  # perhaps started by an earlier owner; not in its report
     assert reconcile(s, desired, 15.0, 14.0).exits[0].detail == "never came up"
 
 
-def test_machines_that_hear_nothing_are_given_back_few_at_a_time() -> None:
+def test_few_deaf_machines_are_returned_but_many_are_kept() -> None:
     def deaf(name: str, trusted: bool) -> Station:
         s = Station(name, "t4", "east", False, 0.0, 5, set())
         s.heard_at, s.seen_token, s.unanswered_since = 99.0, 5 if trusted else 4, 80.0
         return s
 
-    heard = [Station(f"h{i}", "t4", "east", False, 0.0, 5, set()) for i in range(9)]
-    one = [deaf("m-1", trusted=False), deaf("m-2", trusted=True)]
-    found = one_way_too_long([*heard, *one], 99.0, 3.0, 14.0)
-    assert found == ["m-1"]  # a token proves nothing yet
+    reachable = [Station(f"h{i}", "t4", "east", False, 0.0, 5, set()) for i in range(9)]
+    few = [deaf("m-1", trusted=False), deaf("m-2", trusted=True)]
+    found = one_way_too_long([*reachable, *few], 99.0, 3.0, 14.0)
+    assert found == ["m-1"]  # m-2 holds the current token, so it is kept longer
     many = [deaf(f"m-{i}", trusted=False) for i in range(20)]
-    assert one_way_too_long([*heard, *many], 99.0, 3.0, 14.0) == []  # the fault may be our own
+    assert one_way_too_long([*reachable, *many], 99.0, 3.0, 14.0) == []  # this node may be at fault
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""The worker slice of one owner alone: which machines it keeps, and which it looks at."""
+"""The `Workers` service of a single owner: check-ins, tracking and planning of machines."""
 
 import asyncio
 from typing import Any
@@ -17,8 +17,8 @@
 from pulleydeal.workers.station import FailureCause, SentStart, Station, is_sick
 
 
-class Alone:
-    """Membership, store and clock in one: always a member, owner of everything."""
+class FakeNode:
+    """Membership, store and clock of a node that is always a member and owns everything."""
 
     epoch = 3
     is_member = True
@@ -55,12 +55,12 @@
         self.replica.apply(m.Changes(self._version, [event]))
 
 
-def workers(world: Any) -> Workers:
+def make_workers(node: Any) -> Workers:
     times = WorkerTimes(report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34)
-    return Workers(world, world, times, world, Metrics(), {}, Keeping())
+    return Workers(node, node, times, node, Metrics(), {}, Keeping())
 
 
-def report(machine: str, tally: int, *lifts: str, token: int = 3 << 24) -> Request:
+def checkin_request(machine: str, tally: int, *lifts: str, token: int = 3 << 24) -> Request:
     body = {
         "block": machine,
         "addr": "10.1.0.1:9000",
@@ -75,150 +75,150 @@
     return Request("POST", "/checkin", msgspec.json.encode(body))
 
 
-def machine(state: r.MachineState) -> r.MachineRecord:
+def machine_record(state: r.MachineState) -> r.MachineRecord:
     return r.MachineRecord(state, "t4", "east", False, "10.1.0.1:9000")
 
 
-def test_a_machine_that_was_given_back_is_not_asked_after_any_more() -> None:
-    world = Alone()
-    slice_ = workers(world)
-    touched: list[str] = []
-    slice_.changed = touched.append
-    world.put(r.machine_key("vm-1"), machine("up"))
-    asyncio.run(slice_.checkin(report("vm-1", 1)))
-    assert list(slice_.stations) == ["vm-1"]
-    world.put(r.machine_key("vm-1"), machine("drain"))
-    assert list(slice_.stations) == ["vm-1"]  # it must still be emptied
-    touched.clear()
-    world.put(r.machine_key("vm-1"), machine("gone"))
-    assert slice_.stations == {} and touched == ["vm-1"]
-
-
-def test_only_a_report_that_says_something_new_renews_the_credit() -> None:
-    world = Alone()
-    slice_ = workers(world)
-    touched: list[str] = []
-    slice_.changed = touched.append
-    world.put(r.machine_key("vm-1"), machine("up"))
+def test_returned_machine_is_no_longer_tracked() -> None:
+    node = FakeNode()
+    workers = make_workers(node)
+    credit_changes: list[str] = []
+    workers.changed = credit_changes.append
+    node.put(r.machine_key("vm-1"), machine_record("up"))
+    asyncio.run(workers.checkin(checkin_request("vm-1", 1)))
+    assert list(workers.stations) == ["vm-1"]
+    node.put(r.machine_key("vm-1"), machine_record("drain"))
+    assert list(workers.stations) == ["vm-1"]  # its tasks must still be stopped
+    credit_changes.clear()
+    node.put(r.machine_key("vm-1"), machine_record("gone"))
+    assert workers.stations == {} and credit_changes == ["vm-1"]
+
+
+def test_only_a_changed_report_renews_the_credit() -> None:
+    node = FakeNode()
+    workers = make_workers(node)
+    credit_changes: list[str] = []
+    workers.changed = credit_changes.append
+    node.put(r.machine_key("vm-1"), machine_record("up"))
     answers = []
     for tally, lifts in ((1, []), (2, []), (3, ["j-1/0"]), (4, ["j-1/0"])):
-        touched.clear()
-        asyncio.run(slice_.checkin(report("vm-1", tally, *lifts)))
-        answers.append(bool(touched))
+        credit_changes.clear()
+        asyncio.run(workers.checkin(checkin_request("vm-1", tally, *lifts)))
+        answers.append(bool(credit_changes))
     assert answers == [True, False, True, False]
 
 
-def test_a_machine_is_blamed_by_failures_of_different_jobs_and_a_job_by_those_on_others() -> None:
+def test_failures_of_different_jobs_blame_the_machine_unless_they_fail_elsewhere() -> None:
     s = Station("vm-1", "t4", "east", False, 0.0, 0, set())
 
-    def fails(*jobs: str) -> None:
+    def set_failures(*jobs: str) -> None:
         s.errors = [(10.0 + i, (job, i, 1)) for i, job in enumerate(jobs)]
 
-    def sick(*wrong: str, good: str = "") -> bool:
+    def is_sick_if(*faulty: str, sound: str = "") -> bool:
         def cause_of(job: str, _: int) -> FailureCause:
-            return "job" if job in wrong else "machine" if job == good else "open"
+            return "job" if job in faulty else "machine" if job == sound else "open"
 
         return is_sick(s, 20.0, cause_of)
 
-    fails("j-1", "j-1", "j-1")
-    assert not sick()  # one job may be wrong
-    fails("j-1", "j-2", "j-1")
-    assert not sick()  # both may be
-    assert sick(good="j-2")  # this one came to its end elsewhere
-    assert not sick("j-1", good="j-2")  # the first fails elsewhere too: one is not enough
-    fails("j-1", "j-2", "j-3", "j-4", "j-5")
-    assert sick("j-1", "j-2")  # wrong jobs do not hide a sick machine
-    assert not is_sick(s, 200.0, lambda *_: "machine")  # long ago
-
-
-def test_a_kill_is_in_each_answer_also_while_an_order_hangs() -> None:
-    """Orders that hung kept it out of the answers, which went on renewing the lease."""
-    world = Alone()
-    slice_ = workers(world)
+    set_failures("j-1", "j-1", "j-1")
+    assert not is_sick_if()  # the one job may be faulty
+    set_failures("j-1", "j-2", "j-1")
+    assert not is_sick_if()  # both jobs may be faulty
+    assert is_sick_if(sound="j-2")  # j-2 succeeded elsewhere
+    assert not is_sick_if("j-1", sound="j-2")  # j-1 fails elsewhere too: one job is not enough
+    set_failures("j-1", "j-2", "j-3", "j-4", "j-5")
+    assert is_sick_if("j-1", "j-2")  # faulty jobs do not hide a sick machine
+    assert not is_sick(s, 200.0, lambda *_: "machine")  # the failures are too old
+
+
+def test_checkin_answers_carry_kills_while_an_order_hangs() -> None:
+    """Hanging orders kept kills out of the answers, which went on renewing the lease."""
+    node = FakeNode()
+    workers = make_workers(node)
     spec = r.JobSpec("j-1", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
-    world.put(r.machine_key("vm-1"), machine("up"))
-    world.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
-    world.put(r.job_key("j-1"), r.JobRecord("cancelled", 1, 0.0, spec))
-
-    async def ask() -> list[Any]:
-        await slice_.checkin(report("vm-1", 1, "j-1/0"))
-        slice_.stations["vm-1"].busy = True
-        slice_.stations["vm-1"].killed_at.clear()
-        reply = await slice_.checkin(report("vm-1", 2, "j-1/0", "j-2/0"))
+    node.put(r.machine_key("vm-1"), machine_record("up"))
+    node.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
+    node.put(r.job_key("j-1"), r.JobRecord("cancelled", 1, 0.0, spec))
+
+    async def run() -> list[Any]:
+        await workers.checkin(checkin_request("vm-1", 1, "j-1/0"))
+        workers.stations["vm-1"].busy = True
+        workers.stations["vm-1"].killed_at.clear()
+        reply = await workers.checkin(checkin_request("vm-1", 2, "j-1/0", "j-2/0"))
         return list(msgspec.json.decode(reply.body)["calls"])
 
-    calls = asyncio.run(ask())
+    calls = asyncio.run(run())
     told = {(call["call"], call["lift"]) for call in calls}
     assert told == {("kill", "j-1/0"), ("kill", "j-2/0")}
 
 
-def test_an_answer_that_comes_late_makes_nobody_current() -> None:
-    world = Alone()
-    world.current_at = 1.0 - 20.0  # blind for longer than 34 - 14 - 3 s
-    slice_ = workers(world)
+def test_checkins_are_refused_once_the_state_copy_is_too_old() -> None:
+    node = FakeNode()
+    node.current_at = 1.0 - 20.0  # copy older than cancel_s - lease_s - margin: 34 - 14 - 3 s
+    workers = make_workers(node)
 
-    async def ask() -> int:
-        return (await slice_.checkin(report("vm-1", 1))).status
+    async def run() -> int:
+        return (await workers.checkin(checkin_request("vm-1", 1))).status
 
-    assert asyncio.run(ask()) == 503
-    world.current_at = -15.0
-    assert asyncio.run(ask()) == 200
+    assert asyncio.run(run()) == 503
+    node.current_at = -15.0
+    assert asyncio.run(run()) == 200
 
 
-def test_a_report_of_a_machine_without_a_record_earns_no_credit_before_it_answers() -> None:
-    """It may have been given back minutes ago; its room was dealt out again."""
-    slice_ = workers(Alone())
+def test_machine_without_a_record_is_trusted_only_once_it_holds_a_new_token() -> None:
+    """A delayed report of a returned machine made the node offer its capacity again."""
+    workers = make_workers(FakeNode())
 
-    async def ask() -> list[bool]:
+    async def run() -> list[bool]:
         trusted = []
         for tally, token in ((7, 3 << 24), (8, (3 << 24) + 1)):
-            reply = await slice_.checkin(report("vm-9", tally, token=token))
-            trusted.append(slice_.stations["vm-9"].trusted)
+            reply = await workers.checkin(checkin_request("vm-9", tally, token=token))
+            trusted.append(workers.stations["vm-9"].trusted)
             assert msgspec.json.decode(reply.body)["whistle"] == (3 << 24) + 1
         return trusted
 
-    assert asyncio.run(ask()) == [False, True]
+    assert asyncio.run(run()) == [False, True]
 
 
-def test_a_machine_of_which_an_old_report_came_first_is_asked_all_the_same() -> None:
-    world = Alone()
-    slice_ = workers(world)
-    world.put(r.machine_key("vm-1"), machine("up"))
-    asked: list[str] = []
-    slice_.commanding.probe = lambda station: asked.append(station.id)  # type: ignore[method-assign]
+def test_machine_is_probed_when_its_first_report_is_old() -> None:
+    node = FakeNode()
+    workers = make_workers(node)
+    node.put(r.machine_key("vm-1"), machine_record("up"))
+    probed: list[str] = []
+    workers.commanding.probe = lambda station: probed.append(station.id)  # type: ignore[method-assign]
 
-    async def ask() -> None:
-        await slice_.checkin(report("vm-1", 40, "j-1/0", token=2 << 24))
-        slice_._reconcile_machine(slice_.stations["vm-1"])
+    async def run() -> None:
+        await workers.checkin(checkin_request("vm-1", 40, "j-1/0", token=2 << 24))
+        workers._reconcile_machine(workers.stations["vm-1"])
 
-    asyncio.run(ask())
-    assert asked == ["vm-1"] and not slice_.stations["vm-1"].trusted
+    asyncio.run(run())
+    assert probed == ["vm-1"] and not workers.stations["vm-1"].trusted
 
 
-def test_a_start_whose_order_got_no_answer_is_given_up_only_by_a_token_raised_above_it() -> None:
-    """It may be carried out for as long as its token holds."""
-    world = Alone()
-    slice_ = workers(world)
+def test_unanswered_start_is_lost_only_after_a_report_with_a_higher_token() -> None:
+    """The machine may still execute the order as long as it accepts the order's token."""
+    node = FakeNode()
+    workers = make_workers(node)
     spec = r.JobSpec("j-1", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
-    world.put(r.machine_key("vm-1"), machine("up"))
-    world.put(r.job_key("j-1"), r.JobRecord("open", 1, 0.0, spec))
-    given_up: list[Any] = []
-    slice_.exits.record = lambda _, task_exit: given_up.append(task_exit.detail)  # type: ignore[method-assign]
-
-    async def ask() -> list[list[Any]]:
-        await slice_.checkin(report("vm-1", 1))
-        world.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
-        station = slice_.stations["vm-1"]
+    node.put(r.machine_key("vm-1"), machine_record("up"))
+    node.put(r.job_key("j-1"), r.JobRecord("open", 1, 0.0, spec))
+    exits: list[Any] = []
+    workers.exits.record = lambda _, task_exit: exits.append(task_exit.detail)  # type: ignore[method-assign]
+
+    async def run() -> list[list[Any]]:
+        await workers.checkin(checkin_request("vm-1", 1))
+        node.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
+        station = workers.stations["vm-1"]
         start = ("j-1", 0, 1)
         station.sent[start] = SentStart(1, 0, direct=True)
         authority = CommandAuthority(3, 3 << 24, 1)
-        slice_.commanding.orders._handle_unconfirmed(
+        workers.commanding.orders._handle_unconfirmed(
             Order(station, authority, [], [start], 1.0), maybe_executed=True
         )
         seen = []
         for tally, token in ((2, 3 << 24), (3, (3 << 24) + 1)):
-            await slice_.checkin(report("vm-1", tally, token=token))
-            seen.append(list(given_up))
+            await workers.checkin(checkin_request("vm-1", tally, token=token))
+            seen.append(list(exits))
         return seen
 
-    assert asyncio.run(ask()) == [[], ["never came up"]]
+    assert asyncio.run(run()) == [[], ["never came up"]]
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -1,11 +1,11 @@
-"""Answers whose status is believed before the body is understood.
+"""Answers with an invalid body must not be believed for their status.
 
-What happens: a machine carries out a start and answers 200 with a body that is no report of it. The
-start then counts as settled by the status alone, so the next plan finds its task absent from the
-last report and writes "never came up"; the task starts elsewhere while it still runs here. After
-500, or another machine's report, the start is forgotten as though it had never been sent.
+A machine executes a start and answers 200 with a body that is not its report. If the status alone
+settled the start, the next plan would find the task absent from the last report and record "never
+came up", and the task would start elsewhere while it still runs here. After 500, or a report of
+another machine, the start must not be forgotten as if it had never been sent.
 
-What showed it, on three whole nodes (experiments/answers.py, seed 39, PYTHONHASHSEED=0):
+Observed with three nodes (experiments/answers.py, seed 39, PYTHONHASHSEED=0):
 
     89.282 start j-26/0 attempt=2 machine=vm-000002 why=order      (answered wrongly, carried out)
     89.383 end   j-26/0 attempt=2 machine=vm-000002 why=lost: never came up
@@ -13,9 +13,8 @@
     89.682 start j-26/0 attempt=3 machine=vm-000008 why=order
     91.76  ran_twice: j-26/0 on vm-000008 and ['vm-000002']
 
-The same is believed of the state service and the cloud: any status of 5xx counted as "not
-executed", which PROTOCOL says of 503 and 429 only. The account is in
-docs/incidents/answers-not-understood.md.
+Likewise for the state service and the cloud: any 5xx status was taken for "not executed", which
+PROTOCOL says of 503 and 429 only (docs/incidents/answers-not-understood.md).
 """
 
 import asyncio
@@ -45,17 +44,17 @@
     ADDRESS,
     AUTHORITY,
     START,
-    VirtualStore,
-    nothing,
-    play_order,
+    VirtualTimeNode,
+    no_change,
+    run_order,
     station,
 )
-from tests.test_pending_end import SlowStore, bound_job
-from tests.test_workers import machine, report, workers
+from tests.test_pending_end import SlowStoreNode, bind_job
+from tests.test_workers import checkin_request, machine_record, make_workers
 
 
 @pytest.mark.parametrize("seed", [39, 75, 108])
-def test_a_task_is_not_started_elsewhere_by_an_answer_that_says_nothing_of_it(seed: int) -> None:
+def test_invalid_answer_does_not_start_a_task_elsewhere(seed: int) -> None:
     scenario = played(seed)
     assert scenario.rules.broken == []
     assert scenario.failures == []
@@ -66,14 +65,14 @@
     return m.REPORT.decode(request.body)
 
 
-async def end_connections() -> None:
-    """Those that are kept, before the loop ends."""
+async def cancel_other_tasks() -> None:
+    """Cancels tasks of open connections before the event loop ends."""
     for task in asyncio.all_tasks() - {asyncio.current_task()}:
         task.cancel()
     await asyncio.sleep(0.1)
 
 
-class Replies:
+class FixedReply:
     """A machine's address that gives the same answer to every order."""
 
     def __init__(self, reply: Response) -> None:
@@ -85,38 +84,40 @@
         return self.reply
 
 
-def test_another_machines_report_is_not_taken_for_this_ones() -> None:
-    """Its tasks would be stopped there, and its session and count believed of this machine."""
-    other = Response(200, report("vm-2", 9, "j-9/0").body)
-    slice_ = play_order(nothing, Replies(other))
-    station = slice_.stations["vm-1"]
+def test_report_of_another_machine_is_not_applied() -> None:
+    """Else its tasks would be stopped, and its session and report number attributed to this one."""
+    other = Response(200, checkin_request("vm-2", 9, "j-9/0").body)
+    workers = run_order(no_change, FixedReply(other))
+    station = workers.stations["vm-1"]
     assert station.entries == {} and station.seq == 1
 
 
-def test_an_address_at_which_another_machine_answers_is_left_until_its_own_names_it() -> None:
-    """`/orders` names no machine: whoever has the address by now carries the commands out."""
-    slice_ = play_order(nothing, Replies(Response(200, report("vm-2", 9).body)))
-    station = slice_.stations["vm-1"]
+def test_address_answered_by_another_machine_is_dropped_until_the_next_checkin() -> None:
+    """Orders do not name their machine: any machine at the address would execute them."""
+    workers = run_order(no_change, FixedReply(Response(200, checkin_request("vm-2", 9).body)))
+    station = workers.stations["vm-1"]
     assert station.addr == ""
-    absorb(station, decoded(report("vm-1", 2)), 1.0, checkin=True)
+    absorb(station, decoded(checkin_request("vm-1", 2)), 1.0, checkin=True)
     assert station.addr == ADDRESS
 
 
-def test_a_start_of_unknown_outcome_is_settled_by_a_report_with_a_higher_token() -> None:
-    """As after an order that got no answer: the token fences it, and a report shows the token."""
-    slice_ = play_order(nothing, Replies(answer(500, {})))
-    station = slice_.stations["vm-1"]
-    fence = slice_.commanding.token(station)
+def test_start_of_unknown_outcome_is_settled_by_a_report_with_a_higher_token() -> None:
+    """As after an unanswered order: a report with the raised token proves that it is fenced."""
+    workers = run_order(no_change, FixedReply(answer(500, {})))
+    station = workers.stations["vm-1"]
+    fence = workers.commanding.token(station)
     assert fence == (3 << 24) + 1
     for seq, token, settled in ((3, 3 << 24, False), (4, fence, True)):
-        absorb(station, decoded(report("vm-1", seq, token=token)), 1.0, checkin=True)
+        absorb(station, decoded(checkin_request("vm-1", seq, token=token)), 1.0, checkin=True)
         assert station.sent[START].settled is settled
 
 
-def test_a_refusal_that_the_report_contradicts_proves_nothing() -> None:
-    """Token and session are those of the order: by PROTOCOL it was not refused for either."""
-    slice_ = play_order(nothing, Replies(answer(409, msgspec.json.decode(report("vm-1", 2).body))))
-    assert slice_.stations["vm-1"].sent[START].fence is not None
+def test_refusal_that_the_report_contradicts_proves_nothing() -> None:
+    """The report has the order's token and session, so by PROTOCOL neither caused the refusal."""
+    workers = run_order(
+        no_change, FixedReply(answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body)))
+    )
+    assert workers.stations["vm-1"].sent[START].fence is not None
 
 
 @pytest.mark.parametrize(
@@ -135,127 +136,127 @@
 def test_status_and_report_have_to_agree(
     status: int, session: int, token: int, outcome: Outcome
 ) -> None:
-    body = msgspec.json.decode(report("vm-1", 2, token=token).body) | {"shift": session}
+    body = msgspec.json.decode(checkin_request("vm-1", 2, token=token).body) | {"shift": session}
     order = Order(station(), AUTHORITY, [], [START], 0.0)
     assert read_answer(order, status, msgspec.json.encode(body)).outcome is outcome
 
 
 def test_a_machine_that_answers_with_an_old_report_is_not_asked_in_a_tight_loop() -> None:
-    """Its token is below the order's, as a cache between gives it. Each such answer is taken for a
-    new life of the machine, which is asked at once: some hundred orders a second, and as many
-    raised fences. Seen in the log: "answers orders wrongly: status 200 and a report that
-    contradicts it (1 times)", over and over. Bound: asked again at once, then by `Eviction.tend`.
+    """The report's token is below the order's, as from a cache in between. Each such answer is
+    taken for a restart of the machine, which is probed at once: some hundred orders a second, each
+    with a raised fence. The log repeats "invalid answer to an order: status 200 and a report that
+    contradicts it (1 times)". Bound: probed again at once, then only by `Eviction.tend`.
     """
-    stale = answer(200, msgspec.json.decode(report("vm-1", 2, token=2 << 24).body))
-    target = Replies(stale)
-    play_order(nothing, target)
+    stale = answer(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
+    target = FixedReply(stale)
+    run_order(no_change, target)
     assert len(target.bodies) <= 2
 
 
-def test_a_refused_start_is_as_though_never_sent() -> None:
-    newer = answer(409, msgspec.json.decode(report("vm-1", 2, token=(3 << 24) + 5).body))
-    slice_ = play_order(nothing, Replies(newer))
-    assert START not in slice_.stations["vm-1"].sent
+def test_refused_start_is_forgotten() -> None:
+    newer = answer(409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body))
+    workers = run_order(no_change, FixedReply(newer))
+    assert START not in workers.stations["vm-1"].sent
 
 
-def test_a_machine_that_answers_wrongly_for_ever_is_commanded_by_its_check_ins() -> None:
-    """What it does with an order can't be told. It is not asked in a tight loop, its fence is not
-    raised without bound, and its tasks don't wait: what comes next starts there all the same."""
-    target = Replies(Response(200, b"[[["))
+def test_machine_with_invalid_answers_is_commanded_by_checkin_answers() -> None:
+    """The effect of its orders is unknown. It is not probed in a tight loop, its fence is not
+    raised without bound, and new tasks still start there."""
+    target = FixedReply(Response(200, b"[[["))
     found: list[Any] = []
     answers: list[bytes] = []
 
     async def work(_: LoopClock) -> None:
         on_host(Host("10.1.0.1", "east"), Server(target.handle, 10).start(ADDRESS))
         await asyncio.sleep(0.1)
-        world = VirtualStore()
-        slice_ = workers(world)
-        world.put(r.machine_key("vm-1"), machine("up"))
-        await slice_.checkin(report("vm-1", 1))
-        bound_job(world)
-        rounds = asyncio.ensure_future(forever("workers", slice_.work))
+        node = VirtualTimeNode()
+        workers = make_workers(node)
+        node.put(r.machine_key("vm-1"), machine_record("up"))
+        await workers.checkin(checkin_request("vm-1", 1))
+        bind_job(node)
+        rounds = asyncio.ensure_future(forever("workers", workers.work))
         await asyncio.sleep(5.0)
-        world.current_at = world.now()
+        node.current_at = node.now()
         spec = r.JobSpec("j-2", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
-        world.put(r.job_key("j-2"), r.JobRecord("open", 1, 0.0, spec))
-        world.put(r.chunk_key("j-2", 0), [r.Task("vm-1", 1)])
+        node.put(r.job_key("j-2"), r.JobRecord("open", 1, 0.0, spec))
+        node.put(r.chunk_key("j-2", 0), [r.Task("vm-1", 1)])
         await asyncio.sleep(5.0)
-        answers.append((await slice_.checkin(report("vm-1", 2))).body)
+        answers.append((await workers.checkin(checkin_request("vm-1", 2))).body)
         rounds.cancel()
-        found.append(slice_.stations["vm-1"])
-        await end_connections()
+        found.append(workers.stations["vm-1"])
+        await cancel_other_tasks()
 
     virtually(lambda clock: on_host(Host("10.0.0.1", "east"), work(clock)))
     station = found[0]
-    assert len(target.bodies) == 1  # `Eviction.tend` probes it, twice a second
+    assert len(target.bodies) == 1  # later probes come from `Eviction.tend`, twice a second
     assert station.fence == 1
     assert b"j-2/0" in answers[0] and b"j-1/0" not in answers[0]
     stations = [station]
     station.heard_at = station.checkin_at = 200.0
-    assert one_way_too_long(stations, 200.0, 3.0, 14.0) == []  # nor is it given back for that
+    assert one_way_too_long(stations, 200.0, 3.0, 14.0) == []  # nor is it returned for that
 
 
-def test_a_machine_is_commanded_directly_again_once_a_probe_is_understood() -> None:
+def test_valid_probe_answer_restores_direct_orders() -> None:
     for reply, last_answer_invalid in (
         (Response(200, b"[[["), True),
-        (Response(200, report("vm-1", 2).body), False),
+        (Response(200, checkin_request("vm-1", 2).body), False),
         (answer(500, {}), True),
     ):
-        slice_ = play_order(nothing, Replies(reply))
-        assert slice_.stations["vm-1"].last_answer_invalid is last_answer_invalid
-        assert slice_.stations["vm-1"].unanswered_since is None
+        workers = run_order(no_change, FixedReply(reply))
+        assert workers.stations["vm-1"].last_answer_invalid is last_answer_invalid
+        assert workers.stations["vm-1"].unanswered_since is None
 
 
-def test_a_kill_that_no_order_carries_is_in_the_next_check_ins_answer() -> None:
-    """A look at the machine plans it, sends nothing, and must not take it for given."""
+def test_unsent_kill_is_in_the_next_checkin_answer() -> None:
+    """A round that plans the kill but sends nothing must not count it as sent."""
 
-    async def day() -> bytes:
-        world = SlowStore()
-        slice_ = workers(world)
-        world.put(r.machine_key("vm-1"), machine("up"))
-        await slice_.checkin(report("vm-1", 1, "j-9/0"))  # bound to nothing: told to stop
-        world.clock_s += c.KILL_REPEAT_S + 0.1
-        owned = slice_.stations["vm-1"]
+    async def run() -> bytes:
+        node = SlowStoreNode()
+        workers = make_workers(node)
+        node.put(r.machine_key("vm-1"), machine_record("up"))
+        await workers.checkin(checkin_request("vm-1", 1, "j-9/0"))  # not bound: killed
+        node.clock_s += c.KILL_REPEAT_S + 0.1
+        owned = workers.stations["vm-1"]
         owned.last_answer_invalid = True
-        slice_._reconcile_machine(owned)
-        return (await slice_.checkin(report("vm-1", 2, "j-9/0"))).body
+        workers._reconcile_machine(owned)
+        return (await workers.checkin(checkin_request("vm-1", 2, "j-9/0"))).body
 
-    assert b'"kill"' in asyncio.run(day())
+    assert b'"kill"' in asyncio.run(run())
 
 
-def test_a_machine_that_is_not_understood_is_probed_though_it_reports() -> None:
-    class Probes:
+def test_machine_with_invalid_answers_is_probed_although_it_checks_in() -> None:
+    class RecordedProbes:
         def __init__(self) -> None:
-            self.asked: list[str] = []
+            self.probed: list[str] = []
             self.orders = self
 
         def drop_stale(self) -> None: ...
 
         def probe(self, owned: Any) -> None:
-            self.asked.append(owned.id)
-
-    async def day(last_answer_invalid: bool) -> list[str]:
-        world, probes = SlowStore(), Probes()
-        slice_ = workers(world)
-        world.put(r.machine_key("vm-1"), machine("up"))
-        await slice_.checkin(report("vm-1", 1))
-        slice_.stations["vm-1"].last_answer_invalid = last_answer_invalid
-        me: Any = world
-        eviction = Eviction(me, me, slice_._times, me, slice_.stations, probes, Keeping(), set())  # type: ignore[arg-type]
+            self.probed.append(owned.id)
+
+    async def run(last_answer_invalid: bool) -> list[str]:
+        node, probes = SlowStoreNode(), RecordedProbes()
+        workers = make_workers(node)
+        node.put(r.machine_key("vm-1"), machine_record("up"))
+        await workers.checkin(checkin_request("vm-1", 1))
+        workers.stations["vm-1"].last_answer_invalid = last_answer_invalid
+        me: Any = node
+        eviction = Eviction(me, me, workers._times, me, workers.stations, probes, Keeping(), set())  # type: ignore[arg-type]
         await eviction.tend()
-        return probes.asked
+        return probes.probed
 
-    assert asyncio.run(day(last_answer_invalid=True)) == ["vm-1"]
-    assert asyncio.run(day(last_answer_invalid=False)) == []
+    assert asyncio.run(run(last_answer_invalid=True)) == ["vm-1"]
+    assert asyncio.run(run(last_answer_invalid=False)) == []
 
 
-# --- the same of the state service and the cloud -------------------------------------------------
-StateTrouble = (Unavailable, Unknown, Refused)
+# --- likewise for the state service and the cloud ------------------------------------------------
+StateErrors = (Unavailable, Unknown, Refused)
 ODD_STATUSES = [500, 502, 504, 302]
 
 
-def asked(status: int, call: Any) -> Exception:
-    """What a call raises that is answered with this status."""
+def error_for_status(status: int, call: Any) -> Exception:
+    """The error that `call` raises when it is answered with this status."""
     raised: list[Exception] = []
 
     async def handle(_: Request) -> Response:
@@ -266,9 +267,9 @@
         await asyncio.sleep(0.1)
         try:
             await on_host(Host("10.0.0.1", ""), call("10.2.0.1:80", clock))
-        except (*StateTrouble, CloudTrouble) as error:
+        except (*StateErrors, CloudTrouble) as error:
             raised.append(error)
-        await end_connections()
+        await cancel_other_tasks()
 
     virtually(work)
     return raised[0]
@@ -284,18 +285,18 @@
 
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
-def test_a_transaction_may_have_been_executed_whatever_odd_status_came(status: int) -> None:
-    assert isinstance(asked(status, commit), Unknown)
+def test_transaction_may_have_been_executed_after_an_unexpected_status(status: int) -> None:
+    assert isinstance(error_for_status(status, commit), Unknown)
 
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
-def test_a_rental_may_have_been_executed_whatever_odd_status_came(status: int) -> None:
-    error = asked(status, rent)
+def test_rental_may_have_been_executed_after_an_unexpected_status(status: int) -> None:
+    error = error_for_status(status, rent)
     assert isinstance(error, CloudTrouble) and error.may_be_executed
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_what_was_refused_was_not_executed(status: int) -> None:
-    assert not isinstance(asked(status, commit), Unknown)
-    error = asked(status, rent)
+def test_refused_calls_were_not_executed(status: int) -> None:
+    assert not isinstance(error_for_status(status, commit), Unknown)
+    error = error_for_status(status, rent)
     assert isinstance(error, CloudTrouble) and not error.may_be_executed
