--- a/pulleydeal/workers/commanding.py
+++ b/pulleydeal/workers/commanding.py
@@ -99,7 +99,7 @@
             )
             self._decisions.write(decision)
 
-    # --- callbacks of queued and sent orders (OrderOwner) -----------------------------------
+    # --- callbacks of queued and sent orders (OrderHandler) ---------------------------------
     def withdrawal_reason(self, order: Order) -> WithdrawalReason | None:
         machine = order.station.id
         may_start = all(self._may_start(machine, start) for start in order.runs)
--- a/pulleydeal/workers/ends.py
+++ b/pulleydeal/workers/ends.py
@@ -18,7 +18,10 @@
 
 
 class ExitRecorder:
-    """`on_written`: called with a machine after an exit there was written or dropped."""
+    """Queues the durable writes of task exits.
+
+    `on_written`: called with a machine after an exit there was written or dropped.
+    """
 
     def __init__(
         self,
@@ -41,12 +44,12 @@
 
     def record(self, station: Station, task_exit: Exit) -> None:
         """Logs an exit and queues its write, unless that is already pending."""
-        start = (task_exit.job, task_exit.index, task_exit.attempt)
-        if start in self.pending:
+        attempt_id = (task_exit.job, task_exit.index, task_exit.attempt)
+        if attempt_id in self.pending:
             return
-        self.pending.add(start)
+        self.pending.add(attempt_id)
         if task_exit.outcome == "error":
-            station.errors.append((self._clock.now(), start))
+            station.errors.append((self._clock.now(), attempt_id))
         self._decisions.write(
             Decision(
                 Action.END,
@@ -62,10 +65,10 @@
         future = self._store.change_job(
             task_exit.job, partial(self._apply_if_proved, station, task_exit), turn=Turn.WORK
         )
-        future.add_done_callback(partial(self._finish, station.id, start))
+        future.add_done_callback(partial(self._finish, station.id, attempt_id))
 
-    def _finish(self, machine: str, start: AttemptId, _: "asyncio.Future[bool]") -> None:
-        self.pending.discard(start)
+    def _finish(self, machine: str, attempt_id: AttemptId, _: "asyncio.Future[bool]") -> None:
+        self.pending.discard(attempt_id)
         self._on_written(machine)
 
     def _apply_if_proved(self, station: Station, task_exit: Exit, draft: Draft) -> None:
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -44,7 +44,7 @@
         keeping: Keeping,
         objective_classes: set[str],
     ) -> None:
-        self._objective_classes = objective_classes  # job classes that have an objective
+        self._objective_classes = objective_classes  # job classes with a time objective
         self._membership = membership
         self._store = store
         self._replica = store.replica
@@ -84,7 +84,7 @@
         one_way = set(one_way_too_long(stations, now, report_s, self._times.lease_s))
         for station in stations:
             if self._stations.get(station.id) is not station:
-                continue  # no longer owned since another record was written in this loop
+                continue  # given up while the record of another machine was written
             quiet = silent_s(station, now) > c.PROBE_REPORTS * report_s
             if quiet or station.unanswered_since is not None or station.last_answer_invalid:
                 self._commanding.probe(station)
--- a/pulleydeal/workers/reachability.py
+++ b/pulleydeal/workers/reachability.py
@@ -7,12 +7,12 @@
 
 
 def silent_s(s: Station, now: float) -> float:
-    """Seconds since the last report of any kind, or since the machine is owned."""
+    """Seconds since the last report of any kind, or since the takeover if that is later."""
     return now - max(s.since, s.heard_at if s.heard_at is not None else s.since)
 
 
 def without_checkin_s(s: Station, now: float) -> float:
-    """Seconds since the last check-in, or since the machine is owned.
+    """Seconds since the last check-in, or since the takeover if that is later.
 
     Answers to orders do not count, as only the answer to a check-in renews the lease. A machine
     that could reach no node still answered orders and gave credit, so tasks were started there and
@@ -120,11 +120,13 @@
     """Machines to be returned as they are reachable in one direction only.
 
     Deaf machines check in, but no order or answer reaches them; mute ones answer orders, but reach
-    no controller. No task survives there, as their leases are not renewed. But a deaf machine never
-    gets a new owner's token, which would prove that, so its tasks stayed bound all the time; mute
-    ones were paid for and counted as capacity. Many deaf ones at once suggest a fault of this node,
-    which passes; more than a few mute ones suggest a network fault, after which they still have
-    their images. Such machines are kept longer.
+    no controller. No task survives there, as their leases are not renewed. That cannot be concluded
+    of a deaf machine without the current owner's token, so its tasks stayed bound all the time;
+    mute ones were paid for and counted as capacity.
+
+    Kept longer are deaf machines that hold the token; many deaf ones at once, which suggest a
+    passing fault of this node; and more than a few mute ones, which suggest a network fault, after
+    which they still have their images.
     """
     quiet_s = c.PROBE_REPORTS * report_s
     deaf = [
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -192,12 +192,12 @@
         return station
 
     def _bound_attempts(self, machine: str) -> set[AttemptId]:
-        """Bindings that an earlier owner may have started, or this node before a restart of the
-        machine."""
+        """Attempts that an earlier owner, or this node before a restart, may have started there."""
         bound = self._replica.bound.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
     def silent(self, station: Station) -> bool:
+        """Whether check-ins have been missing for `SILENT_REPORTS` report periods."""
         limit = c.SILENT_REPORTS * self._times.report_s
         return without_checkin_s(station, self._clock.now()) > limit
 
@@ -324,8 +324,8 @@
                 # them back from machines whose leases went on being renewed.
                 plan.calls = [call for call in plan.calls if call["call"] == "kill"]
                 plan.runs = []
-        for gone in plan.exits:
-            self.exits.record(station, gone)
+        for task_exit in plan.exits:
+            self.exits.record(station, task_exit)
         return plan
 
     def _replan(self, machine: str) -> None:
--- a/pulleydeal/workers/station.py
+++ b/pulleydeal/workers/station.py
@@ -1,6 +1,6 @@
 """The owner's state of one machine, and the planning of commands and exits from it.
 
-Functions here depend only on their arguments, including the time, and do no I/O.
+Functions here use only their arguments, including the time, and do no I/O.
 """
 
 from collections import Counter
@@ -129,7 +129,7 @@
     s.notice_at = now + report.notice_s if report.notice_s is not None else None
     if report.tasks != s.raw_tasks:
         _update_tasks(s, report.tasks)
-    for start, sent in s.sent.items():
+    for attempt_id, sent in s.sent.items():
         if sent.settled:
             continue
         # An order for an earlier session is refused (409) whenever it arrives.
@@ -139,8 +139,8 @@
             or (not sent.direct and sent.fence is None and checkin and report.seq > sent.after_seq)
         ):
             sent.settled = True
-        entry = s.entries.get(start[:2])
-        if entry is not None and entry.attempt == start[2] and not sent.direct:
+        entry = s.entries.get(attempt_id[:2])
+        if entry is not None and entry.attempt == attempt_id[2] and not sent.direct:
             sent.settled = True
     return True
 
@@ -233,15 +233,15 @@
         bound = desired.get((job, index))
         if bound is not None and bound.task.attempt == entry.attempt:
             continue
-        start = (job, index, entry.attempt)
-        sent = s.sent.get(start)
+        attempt_id = (job, index, entry.attempt)
+        sent = s.sent.get(attempt_id)
         if entry.state != "exited":
-            _plan_kill(s, start, 0.0, now, plan)
+            _plan_kill(s, attempt_id, 0.0, now, plan)
         elif sent is None or sent.settled:
             # Unbound durably, and no `run` for it can still arrive.
-            plan.calls.append(m.clear(*start))
-    for start in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
-        del s.sent[start]
+            plan.calls.append(m.clear(*attempt_id))
+    for attempt_id in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
+        del s.sent[attempt_id]
     # The outcome of an order or a start in flight will change the plan.
     in_flight = s.busy or not all(sent.settled for sent in s.sent.values())
     s.reconciled = plan.is_empty and not in_flight
@@ -250,13 +250,13 @@
 
 def _reconcile_task(
     s: Station,
-    start: AttemptId,
+    attempt_id: AttemptId,
     target: DesiredTask,
     now: float,
     plan: Plan,
     ending: Collection[AttemptId],
 ) -> None:
-    job, index, attempt = start
+    job, index, attempt = attempt_id
     entry = s.entries.get((job, index))
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
@@ -266,37 +266,39 @@
             detail = target.task.stop or ordered or entry.why
             plan.exits.append(Exit(job, index, attempt, s.id, outcome, detail))
         elif target.end_reason:
-            _plan_kill(s, start, 0.0, now, plan)
+            _plan_kill(s, attempt_id, 0.0, now, plan)
         elif target.task.stop:
-            _plan_kill(s, start, target.spec.save_s + 1.0, now, plan)
+            _plan_kill(s, attempt_id, target.spec.save_s + 1.0, now, plan)
         return
     if entry is not None and entry.state != "exited":
         return  # another attempt still runs here; `reconcile` kills it
-    sent = s.sent.get(start)
+    sent = s.sent.get(attempt_id)
     if sent is not None and not sent.settled:
         return
-    if sent is not None or start in s.inherited or start in s.seen:
+    if sent is not None or attempt_id in s.inherited or attempt_id in s.seen:
         # Absent from a report made after the last moment at which its `run` could take effect.
-        why = "never came up" if start not in s.seen else "vanished: the machine lost its lease"
-        plan.exits.append(_exit_by_absence(start, s, "lost", target.task.stop or why))
-    elif start in ending:
+        why = (
+            "never came up" if attempt_id not in s.seen else "vanished: the machine lost its lease"
+        )
+        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", target.task.stop or why))
+    elif attempt_id in ending:
         # The exit was decided because the start was never sent, and waits to be written. If the
         # start were sent now, the task would run here and be started elsewhere as well.
         plan.needs_replan = True
     elif target.end_reason or target.task.stop:
         plan.exits.append(
-            _exit_by_absence(start, s, "stopped", target.task.stop or target.end_reason)
+            _exit_by_absence(attempt_id, s, "stopped", target.task.stop or target.end_reason)
         )
     elif s.unanswered_since is not None and now - s.unanswered_since > c.UNREACHED_S:
         # No command with this start was ever sent.
-        plan.exits.append(_exit_by_absence(start, s, "lost", "its machine hears no order"))
+        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", "its machine hears no order"))
     else:
-        plan.calls.append(m.run(*start))
-        plan.runs.append(start)
+        plan.calls.append(m.run(*attempt_id))
+        plan.runs.append(attempt_id)
 
 
-def _exit_by_absence(start: AttemptId, s: Station, outcome: str, detail: str) -> Exit:
-    return Exit(*start, s.id, outcome, detail, by_absence=True)
+def _exit_by_absence(attempt_id: AttemptId, s: Station, outcome: str, detail: str) -> Exit:
+    return Exit(*attempt_id, s.id, outcome, detail, by_absence=True)
 
 
 def _exit_outcome(entry: TaskStatus) -> str:
@@ -307,24 +309,24 @@
     return entry.why or "lost"
 
 
-def _plan_kill(s: Station, start: AttemptId, grace_s: float, now: float, plan: Plan) -> None:
-    key = (start, grace_s > 0)
+def _plan_kill(s: Station, attempt_id: AttemptId, grace_s: float, now: float, plan: Plan) -> None:
+    key = (attempt_id, grace_s > 0)
     plan.needs_replan = True
     if now - s.killed_at.get(key, -1e9) < c.KILL_REPEAT_S:
         return
-    entry = s.entries[start[:2]]
+    entry = s.entries[attempt_id[:2]]
     if entry.state == "saving" and grace_s > 0:
         return
     s.killed_at[key] = now
-    plan.calls.append(m.kill(*start, grace_s))
+    plan.calls.append(m.kill(*attempt_id, grace_s))
 
 
 def forget_kills(s: Station, calls: list[dict[str, Any]]) -> None:
     """Makes kills among these unsent commands due at once, instead of after `KILL_REPEAT_S`."""
     for call in calls:
         if call["call"] == "kill":
-            start = (*m.split_task(call["lift"]), call["pull"])
-            s.killed_at.pop((start, call["ease_s"] > 0), None)
+            attempt_id = (*m.split_task(call["lift"]), call["pull"])
+            s.killed_at.pop((attempt_id, call["ease_s"] > 0), None)
 
 
 FailureCause = Literal["job", "machine", "open"]  # of a failure; "open": unknown yet
@@ -339,8 +341,8 @@
     """
     if not s.errors:
         return False
-    s.errors = [(at, start) for at, start in s.errors if now - at < c.SICK_WINDOW_S]
-    failed = Counter(start[0] for _, start in s.errors)
+    s.errors = [(at, attempt_id) for at, attempt_id in s.errors if now - at < c.SICK_WINDOW_S]
+    failed = Counter(attempt_id[0] for _, attempt_id in s.errors)
     if failed.total() < c.SICK_ERRORS or len(failed) < c.SICK_JOBS:
         return False
     found = {job: cause_of(job, n) for job, n in failed.items()}
