--- a/pulleydeal/workers/outcomes.py
+++ b/pulleydeal/workers/outcomes.py
@@ -32,7 +32,7 @@
 
     `report`: the machine's own report, if the answer had one. `reason`: why the outcome is unknown
     or the order was not sent; equal causes give equal texts, as they are counted by text.
-    `is_elsewhere`: another machine answers at the address.
+    `is_other_machine`: another machine answers at the address.
     """
 
     outcome: Outcome
