--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -17,9 +17,9 @@
 SOON = c.SILENT_RETURN_REPORTS * REPORT_S
 
 
-def machines(zone: str, heard: list[float | None], since: float = 0.0) -> list[Station]:
+def machines(zone: str, last_reports: list[float | None], since: float = 0.0) -> list[Station]:
     found = []
-    for i, at in enumerate(heard):
+    for i, at in enumerate(last_reports):
         station = Station(f"{zone}-{i}", "t4", zone, False, since, 0, set())
         station.heard_at = at
         found.append(station)
@@ -38,13 +38,13 @@
 
 def test_no_machine_of_a_silent_zone_is_returned() -> None:
     """Machines fall silent one by one, as their last reports before a partition differ in time."""
-    cut = 100.0
-    stations = machines("east", [cut - 0.15 * i for i in range(20)])
-    stations += machines("west", [cut + 30.0] * 20)
+    partition_at = 100.0
+    stations = machines("east", [partition_at - 0.15 * i for i in range(20)])
+    stations += machines("west", [partition_at + 30.0] * 20)
     for tenth in range(300):
-        now = cut + tenth / 10
+        now = partition_at + tenth / 10
         assert to_return(stations, now, {}) == []
-    assert silent_zones(stations, cut + 30, REPORT_S) == {"east"}
+    assert silent_zones(stations, partition_at + 30, REPORT_S) == {"east"}
 
 
 def test_machines_of_a_zone_silent_for_very_long_are_returned() -> None:
@@ -77,8 +77,8 @@
 
 
 def test_node_without_machines_uses_the_counts_of_other_owners() -> None:
-    cut = [{"east": (9, 10), "west": (0, 9)}, {"east": (7, 8)}]
-    assert out_of_sight([], 100.0, REPORT_S, cut) == {"east"}
+    counts = [{"east": (9, 10), "west": (0, 9)}, {"east": (7, 8)}]
+    assert out_of_sight([], 100.0, REPORT_S, counts) == {"east"}
     assert out_of_sight([], 100.0, REPORT_S, [{"east": (9, 10)}]) == set()
     assert out_of_sight([], 100.0, REPORT_S) == set()
 
@@ -93,19 +93,21 @@
         }  # fmt: skip
         return msgspec.convert(raw, m.Report)
 
-    def heard(name: str, *ways: tuple[float, bool]) -> Station:
+    def station_after(name: str, *ways: tuple[float, bool]) -> Station:
         s = Station(name, "t4", "east", False, 0.0, 5, set())
         for tally, (at, checkin) in enumerate(ways, 1):
             absorb(s, report(tally), at, checkin)
         return s
 
-    others = [heard(f"h{i}", (60.0, True), (90.0, False), (98.0, True)) for i in range(9)]
-    mute = heard("m-1", (70.0, True), (75.0, False), (98.0, False))
+    others = [station_after(f"h{i}", (60.0, True), (90.0, False), (98.0, True)) for i in range(9)]
+    mute = station_after("m-1", (70.0, True), (75.0, False), (98.0, False))
     assert without_checkin_s(mute, 99.0) == 29.0
-    back = heard("m-2", (40.0, True), (97.0, False))  # answered before checking in again
-    fresh = heard("m-3", (81.0, True), (85.0, False))  # its lease may not have expired
+    back = station_after("m-2", (40.0, True), (97.0, False))  # answered before checking in again
+    fresh = station_after("m-3", (81.0, True), (85.0, False))  # its lease may not have expired
     assert one_way_too_long([*others, mute, back, fresh], 99.0, 3.0, 14.0) == ["m-1"]
-    several = [heard(f"m-{i}", (70.0, True), (75.0, False)) for i in range(c.SILENT_FEW + 1)]
+    several = [
+        station_after(f"m-{i}", (70.0, True), (75.0, False)) for i in range(c.SILENT_FEW + 1)
+    ]
     assert one_way_too_long([*others, *several], 99.0, 3.0, 14.0) == []  # they may recover
     late = 75.0 + c.UNSEEN_KEEP_S + 1
     assert len(one_way_too_long([*others, *several], late, 3.0, 14.0)) == len(several)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -148,8 +148,8 @@
         return list(msgspec.json.decode(reply.body)["calls"])
 
     calls = asyncio.run(run())
-    told = {(call["call"], call["lift"]) for call in calls}
-    assert told == {("kill", "j-1/0"), ("kill", "j-2/0")}
+    commanded = {(call["call"], call["lift"]) for call in calls}
+    assert commanded == {("kill", "j-1/0"), ("kill", "j-2/0")}
 
 
 def test_checkins_are_refused_once_the_state_copy_is_too_old() -> None:
