--- a/pulleydeal/workers/ends.py
+++ b/pulleydeal/workers/ends.py
@@ -1,4 +1,4 @@
-"""Makes durable that an attempt of a task ended, and knows which ends are still being written."""
+"""Records task exits durably, and tracks those that are still being written."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,11 +14,14 @@
 from pulleydeal.store.service import Store
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.changes import apply_exit
-from pulleydeal.workers.station import Exit, Start, Station
+from pulleydeal.workers.station import AttemptId, Exit, Station
 
 
-class Ends:
-    """`written`: called with a machine once an end there was written, or given up."""
+class ExitRecorder:
+    """Queues the durable writes of task exits.
+
+    `on_written`: called with a machine after an exit there was written or dropped.
+    """
 
     def __init__(
         self,
@@ -28,7 +31,7 @@
         metrics: Metrics,
         decisions: DecisionLog,
         stations: dict[str, Station],
-        written: Callable[[str], None],
+        on_written: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._store = store
@@ -36,44 +39,46 @@
         self._metrics = metrics
         self._decisions = decisions
         self._stations = stations
-        self._written = written
-        self.pending: set[Start] = set()  # no start of these may be sent
+        self._on_written = on_written
+        self.pending: set[AttemptId] = set()  # exits being written: none of these may be started
 
-    def record(self, station: Station, gone: Exit) -> None:
-        start = (gone.job, gone.index, gone.attempt)
-        if start in self.pending:
+    def record(self, station: Station, task_exit: Exit) -> None:
+        """Logs an exit and queues its write, unless that is already pending."""
+        attempt_id = (task_exit.job, task_exit.index, task_exit.attempt)
+        if attempt_id in self.pending:
             return
-        self.pending.add(start)
-        if gone.outcome == "error":
-            station.errors.append((self._clock.now(), start))
+        self.pending.add(attempt_id)
+        if task_exit.outcome == "error":
+            station.errors.append((self._clock.now(), attempt_id))
         self._decisions.write(
             Decision(
                 Action.END,
-                f"{gone.outcome}: {shown(gone.detail)}",
-                m.task_name(gone.job, gone.index),
-                gone.attempt,
-                gone.machine,
+                f"{task_exit.outcome}: {shown(task_exit.detail)}",
+                m.task_name(task_exit.job, task_exit.index),
+                task_exit.attempt,
+                task_exit.machine,
                 session=station.session,
                 seq=station.seq,
             )
         )
-        self._metrics.stops.labels(gone.outcome).inc()
+        self._metrics.stops.labels(task_exit.outcome).inc()
         future = self._store.change_job(
-            gone.job, partial(self._prove, station, gone), turn=Turn.WORK
+            task_exit.job, partial(self._apply_if_proved, station, task_exit), turn=Turn.WORK
         )
-        future.add_done_callback(partial(self._finish, station.id, start))
+        future.add_done_callback(partial(self._finish, station.id, attempt_id))
 
-    def _finish(self, machine: str, start: Start, _: "asyncio.Future[bool]") -> None:
-        self.pending.discard(start)
-        self._written(machine)
+    def _finish(self, machine: str, attempt_id: AttemptId, _: "asyncio.Future[bool]") -> None:
+        self.pending.discard(attempt_id)
+        self._on_written(machine)
 
-    def _prove(self, station: Station, gone: Exit, draft: Draft) -> None:
-        """Runs against the newest record and view, on which the commit is conditional.
+    def _apply_if_proved(self, station: Station, task_exit: Exit, draft: Draft) -> None:
+        """Applies the exit to the newest record, if its proof still holds.
 
-        Absence proves nothing once somebody else may have renewed the lease, or may have commanded
-        the machine: a node that was cut off and voted out concluded from silence all the same,
-        wrote it when it was back, and tasks ran twice.
+        The commit is conditional on that record and the view. Absence of a task proves nothing once
+        another node may have renewed the lease or commanded the machine: a node that was cut off
+        and removed from the view concluded exits from silence, wrote them on its return, and tasks
+        ran twice.
         """
         still_owner = self._membership.is_member and self._stations.get(station.id) is station
-        if still_owner or not gone.by_absence:
-            apply_exit(draft, gone)
+        if still_owner or not task_exit.by_absence:
+            apply_exit(draft, task_exit)
--- a/pulleydeal/workers/station.py
+++ b/pulleydeal/workers/station.py
@@ -1,6 +1,6 @@
-"""What the owner of a machine knows of it, and what it concludes from that.
+"""The owner's state of one machine, and the planning of commands and exits from it.
 
-Everything here is a plain function of state and time; nothing is sent from here.
+Functions here use only their arguments, including the time, and do no I/O.
 """
 
 from collections import Counter
@@ -13,11 +13,13 @@
 from pulleydeal.workers import messages as m
 
 TaskId = tuple[str, int]
-Start = tuple[str, int, int]  # job, index, attempt
+AttemptId = tuple[str, int, int]  # job, index, attempt
 
 
 @dataclass(slots=True)
-class Entry:
+class TaskStatus:
+    """A task as the machine last reported it."""
+
     attempt: int
     state: str
     why: str = ""
@@ -25,75 +27,82 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """A `run` whose effect has not shown in a report yet."""
+class SentStart:
+    """A `run` command that was sent, and what would prove its outcome.
+
+    Once `settled`, a report without the task proves that it does not run.
+    """
 
     session: int
-    after_seq: int  # settled by a check-in later than this (sent in a check-in's answer)
-    fence: int | None = None  # settled once the machine holds this token (order unanswered)
-    direct: bool = False  # an order in flight: nothing is known before it is answered
+    after_seq: int  # sent in a check-in's answer: settled by a later check-in than this
+    fence: int | None = None  # order unanswered: settled once the machine holds this token
+    direct: bool = False  # its order is in flight: the outcome is unknown until it ends
     settled: bool = False
 
 
 @dataclass(slots=True)
 class Exit:
+    """The end of one attempt of a task, to be recorded durably."""
+
     job: str
     index: int
     attempt: int
     machine: str
     outcome: str  # done, error, saved, stopped, lost, refused, ...
     detail: str
-    # Concluded from the task's absence: holds only for the owner that saw it, in that tenure. What
-    # the machine itself reported of an attempt holds for ever.
+    # Concluded from the task's absence: valid only while the same owner keeps the machine. An exit
+    # that the machine itself reported stays valid.
     by_absence: bool = False
 
 
 @dataclass(slots=True)
-class Wanted:
-    """One binding as the state service has it."""
+class DesiredTask:
+    """A task bound to the machine in the stored state."""
 
     task: Task
     spec: JobSpec
-    over: str = ""  # why no task of this attempt may run any more
+    end_reason: str = ""  # reason why no task of this attempt may run any more; empty: it may
 
 
 @dataclass(slots=True)
 class Station:
+    """What this node knows of a machine, for as long as it owns it without a break."""
+
     id: str
     type: str
     zone: str
     spot: bool
-    since: float  # steady time from which this node has owned the machine without a break
-    floor: int  # token at that time: a report that holds it was made after the takeover
-    inherited: set[Start]  # bindings that an earlier owner may have started
+    since: float  # steady time from which this node has owned the machine
+    floor: int  # lowest token that proves a report was made after the takeover
+    inherited: set[AttemptId]  # bindings that an earlier owner may have started
     addr: str = ""
     fence: int = 0
     session: int = 0
     seq: int = 0
     seen_token: int = 0
-    token_at: float = 0.0  # steady time at which a token of that epoch was first reported
-    session_at: float = -1e9  # steady time at which that session was first heard of
-    notice_at: float | None = None  # steady time at which the cloud takes the machine
+    token_at: float = 0.0  # steady time at which a token of the current epoch was first reported
+    session_at: float = -1e9  # steady time at which the current session was first reported
+    notice_at: float | None = None  # steady time at which the cloud reclaims the spot machine
     heard_at: float | None = None  # steady time of the last report of any kind
-    checkin_at: float | None = None  # steady time of the last check-in that was news
-    mute_since: float | None = None  # it has answered orders from then on, and not checked in
+    checkin_at: float | None = None  # steady time of the last check-in that was not outdated
+    no_checkin_since: float | None = None  # since then it has answered orders but not checked in
     answered_at: float | None = None  # steady time of the last check-in answered with 200
-    entries: dict[TaskId, Entry] = field(default_factory=dict)
-    sent: dict[Start, Sent] = field(default_factory=dict)
-    seen: set[Start] = field(default_factory=set)
-    killed_at: dict[tuple[Start, bool], float] = field(default_factory=dict)
-    errors: list[tuple[float, Start]] = field(default_factory=list)
+    entries: dict[TaskId, TaskStatus] = field(default_factory=dict)
+    sent: dict[AttemptId, SentStart] = field(default_factory=dict)
+    seen: set[AttemptId] = field(default_factory=set)
+    killed_at: dict[tuple[AttemptId, bool], float] = field(default_factory=dict)
+    errors: list[tuple[float, AttemptId]] = field(default_factory=list)
     busy: bool = False  # a direct order is in flight
-    unanswered_since: float | None = None  # orders get no answer from then on; None: the last did
-    is_misunderstood: bool = False  # the last order's answer was not understood
-    wrong_answers: Counter[str] = field(default_factory=Counter)  # to orders, by what was wrong
-    reported: list[m.ReportedTask] = field(default_factory=list)  # as in the last report taken in
-    # The last full plan found nothing to do, and nothing that it was made from has changed since.
-    settled: bool = False
+    unanswered_since: float | None = None  # orders get no answer since then; None: the last one did
+    last_answer_invalid: bool = False  # the answer to the last order was not valid
+    wrong_answers: Counter[str] = field(default_factory=Counter)  # invalid ones, by reason
+    raw_tasks: list[m.ReportedTask] = field(default_factory=list)  # of the last accepted report
+    # The last plan was empty, and none of its inputs has changed since.
+    reconciled: bool = False
 
     @property
     def trusted(self) -> bool:
-        """Its reports are newer than anything an earlier owner can still have executed."""
+        """Whether its reports show the effect of every command of earlier owners."""
         return self.heard_at is not None and self.seen_token >= self.floor
 
     def raise_fence(self) -> None:
@@ -101,7 +110,7 @@
 
 
 def absorb(s: Station, report: m.Report, now: float, checkin: bool) -> bool:
-    """Takes a report in. False: it is older than what is known, so its content is ignored."""
+    """Applies a report. False: it is not newer than the last one, so it is ignored."""
     if (report.session, report.seq) <= (s.session, s.seq):
         return False
     new_session = report.session > s.session
@@ -114,32 +123,32 @@
     s.addr = report.addr
     s.heard_at = now
     if checkin:
-        s.checkin_at, s.mute_since = now, None
-    elif s.mute_since is None:
-        s.mute_since = now
+        s.checkin_at, s.no_checkin_since = now, None
+    elif s.no_checkin_since is None:
+        s.no_checkin_since = now
     s.notice_at = now + report.notice_s if report.notice_s is not None else None
-    if report.tasks != s.reported:
-        _take_tasks(s, report.tasks)
-    for start, sent in s.sent.items():
+    if report.tasks != s.raw_tasks:
+        _update_tasks(s, report.tasks)
+    for attempt_id, sent in s.sent.items():
         if sent.settled:
             continue
-        # An order for an earlier session gets 409 whenever it arrives.
+        # An order for an earlier session is refused (409) whenever it arrives.
         if (
             (new_session and sent.session < report.session and not sent.direct)
             or (sent.fence is not None and report.token >= sent.fence)
             or (not sent.direct and sent.fence is None and checkin and report.seq > sent.after_seq)
         ):
             sent.settled = True
-        entry = s.entries.get(start[:2])
-        if entry is not None and entry.attempt == start[2] and not sent.direct:
+        entry = s.entries.get(attempt_id[:2])
+        if entry is not None and entry.attempt == attempt_id[2] and not sent.direct:
             sent.settled = True
     return True
 
 
-def _take_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
-    """Most reports name the same tasks in the same states as the one before: only others cost."""
-    s.reported = tasks
-    s.settled = False
+def _update_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
+    """Replaces the task states. Called only if they changed, as most reports repeat the last."""
+    s.raw_tasks = tasks
+    s.reconciled = False
     s.entries = {}
     for t in tasks:
         try:
@@ -147,18 +156,21 @@
         except ValueError:
             continue
         why = m.WHY.get(t.why or "", t.why or "")
-        s.entries[task_id] = Entry(t.attempt, m.STATES[t.state], why, bool(t.saved))
+        s.entries[task_id] = TaskStatus(t.attempt, m.STATES[t.state], why, bool(t.saved))
         s.seen.add((*task_id, t.attempt))
 
 
 def lease_over(s: Station, now: float, lease_s: float) -> bool:
-    """The worker must have killed everything: we alone could renew, and did not.
-
-    Only valid for an owner that itself answered: an earlier one may renew in a cut zone. And only
-    from when the machine was known to hold our token: an earlier owner with an older picture had
-    renewed it after our first answer, which was lost (docs/incidents/older-owner.md). And only
-    from when its session was first heard of: a new one begins with a whole lease, and what was
-    started in it by an order was taken for lost at once (docs/incidents/new-session.md).
+    """Whether the lease must have expired, so that the worker has killed all its tasks.
+
+    The machine must hold this owner's token, and this owner must have answered a check-in itself:
+    otherwise an earlier one may still renew the lease in a partitioned zone. The lease counts from
+    the latest of three times:
+    - this owner's last answer, which renewed it;
+    - the first report with a token of the current epoch: an earlier owner with an older view had
+      renewed the lease after this owner's first answer was lost (docs/incidents/older-owner.md);
+    - the first report of the session: a new session begins with a full lease, and tasks started in
+      it by an order were declared lost at once (docs/incidents/new-session.md).
     """
     if s.answered_at is None or not s.trusted:
         return False
@@ -170,115 +182,126 @@
 
 @dataclass(slots=True)
 class Plan:
+    """What to do about one machine: commands to send and exits to record."""
+
     calls: list[dict[str, Any]] = field(default_factory=list)
-    runs: list[Start] = field(default_factory=list)
+    runs: list[AttemptId] = field(default_factory=list)
     exits: list[Exit] = field(default_factory=list)
-    repeats: bool = False  # a kill was given a moment ago and is due again later
+    needs_replan: bool = False  # must be planned again even if nothing changes
 
     @property
     def is_empty(self) -> bool:
-        """Nothing to say, to write down, or to come back to though nothing changes."""
-        return not (self.calls or self.runs or self.exits or self.repeats)
+        """Nothing to send, to record or to plan again later."""
+        return not (self.calls or self.runs or self.exits or self.needs_replan)
 
 
-def is_settled(s: Station, now: float, lease_s: float) -> bool:
-    """Whether a new plan would be as empty as the last one.
+def is_reconciled(s: Station, now: float, lease_s: float) -> bool:
+    """Whether a new plan would be empty too.
 
-    Only time can change it then, and time only ends a lease.
+    With unchanged inputs only the expiry of the lease can change the plan.
     """
-    return s.settled and s.trusted and not lease_over(s, now, lease_s)
+    return s.reconciled and s.trusted and not lease_over(s, now, lease_s)
 
 
 def reconcile(
     s: Station,
-    wanted: dict[TaskId, Wanted],
+    desired: dict[TaskId, DesiredTask],
     now: float,
     lease_s: float,
     alone: Callable[[], bool] = lambda: True,
-    ending: Collection[Start] = (),
+    ending: Collection[AttemptId] = (),
 ) -> Plan:
-    """Compares what is bound with what the machine reports.
+    """Plans commands and exits by comparing the bindings with the machine's report.
 
-    `alone`: whether nobody else can have renewed the machine's lease. `ending`: attempts whose end
-    was concluded and is still being written.
+    `alone`: whether no other node can have renewed the machine's lease. `ending`: attempts whose
+    exit was decided and is still being written.
     """
     plan = Plan()
-    s.settled = False  # before trust and after a lease an empty plan says nothing of the next
+    s.reconciled = False  # an empty plan without trust or after the lease does not predict the next
     if lease_over(s, now, lease_s):
         if not alone():
             return plan
-        for (job, index), want in wanted.items():
+        for (job, index), target in desired.items():
             why = "machine lost: its lease ran out"
-            plan.exits.append(_absent((job, index, want.task.attempt), s, "lost", why))
+            plan.exits.append(_exit_by_absence((job, index, target.task.attempt), s, "lost", why))
         return plan
     if not s.trusted:
         return plan
-    for (job, index), want in wanted.items():
-        _one(s, (job, index, want.task.attempt), want, now, plan, ending)
+    for (job, index), target in desired.items():
+        _reconcile_task(s, (job, index, target.task.attempt), target, now, plan, ending)
     for (job, index), entry in s.entries.items():
-        bound = wanted.get((job, index))
+        bound = desired.get((job, index))
         if bound is not None and bound.task.attempt == entry.attempt:
             continue
-        start = (job, index, entry.attempt)
-        sent = s.sent.get(start)
+        attempt_id = (job, index, entry.attempt)
+        sent = s.sent.get(attempt_id)
         if entry.state != "exited":
-            _kill(s, start, 0.0, now, plan)
+            _plan_kill(s, attempt_id, 0.0, now, plan)
         elif sent is None or sent.settled:
-            # Unbound by a durable change, and no order with its `run` can still arrive.
-            plan.calls.append(m.clear(*start))
-    for start in [k for k in s.sent if k[:2] not in wanted and s.sent[k].settled]:
-        del s.sent[start]
-    # A start that is still on its way, or an order, changes a plan when its outcome is known.
-    on_its_way = s.busy or not all(sent.settled for sent in s.sent.values())
-    s.settled = plan.is_empty and not on_its_way
+            # Unbound durably, and no `run` for it can still arrive.
+            plan.calls.append(m.clear(*attempt_id))
+    for attempt_id in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
+        del s.sent[attempt_id]
+    # The outcome of an order or a start in flight will change the plan.
+    in_flight = s.busy or not all(sent.settled for sent in s.sent.values())
+    s.reconciled = plan.is_empty and not in_flight
     return plan
 
 
-def _one(
-    s: Station, start: Start, want: Wanted, now: float, plan: Plan, ending: Collection[Start]
+def _reconcile_task(
+    s: Station,
+    attempt_id: AttemptId,
+    target: DesiredTask,
+    now: float,
+    plan: Plan,
+    ending: Collection[AttemptId],
 ) -> None:
-    job, index, attempt = start
+    job, index, attempt = attempt_id
     entry = s.entries.get((job, index))
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
-            outcome = _outcome(entry)
-            # A machine only says that it was told to stop; users and operators hear why.
-            ordered = entry.why in ("stopped", "peers") and want.over
-            detail = want.task.stop or ordered or entry.why
+            outcome = _exit_outcome(entry)
+            # The machine only reports that it was stopped; users and operators see why.
+            ordered = entry.why in ("stopped", "peers") and target.end_reason
+            detail = target.task.stop or ordered or entry.why
             plan.exits.append(Exit(job, index, attempt, s.id, outcome, detail))
-        elif want.over:
-            _kill(s, start, 0.0, now, plan)
-        elif want.task.stop:
-            _kill(s, start, want.spec.save_s + 1.0, now, plan)
+        elif target.end_reason:
+            _plan_kill(s, attempt_id, 0.0, now, plan)
+        elif target.task.stop:
+            _plan_kill(s, attempt_id, target.spec.save_s + 1.0, now, plan)
         return
     if entry is not None and entry.state != "exited":
-        return  # another attempt is still there; it is being killed
-    sent = s.sent.get(start)
+        return  # another attempt still runs here; `reconcile` kills it
+    sent = s.sent.get(attempt_id)
     if sent is not None and not sent.settled:
         return
-    if sent is not None or start in s.inherited or start in s.seen:
-        # Absent from a report made after its run could last take effect: it is gone.
-        why = "never came up" if start not in s.seen else "vanished: the machine lost its lease"
-        plan.exits.append(_absent(start, s, "lost", want.task.stop or why))
-    elif start in ending:
-        # Its end was concluded from its never having been sent, and waits for its turn to be
-        # written: sent now, it would run here while it is started elsewhere.
-        plan.repeats = True
-    elif want.over or want.task.stop:
-        plan.exits.append(_absent(start, s, "stopped", want.task.stop or want.over))
+    if sent is not None or attempt_id in s.inherited or attempt_id in s.seen:
+        # Absent from a report made after the last moment at which its `run` could take effect.
+        why = (
+            "never came up" if attempt_id not in s.seen else "vanished: the machine lost its lease"
+        )
+        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", target.task.stop or why))
+    elif attempt_id in ending:
+        # The exit was decided because the start was never sent, and waits to be written. If the
+        # start were sent now, the task would run here and be started elsewhere as well.
+        plan.needs_replan = True
+    elif target.end_reason or target.task.stop:
+        plan.exits.append(
+            _exit_by_absence(attempt_id, s, "stopped", target.task.stop or target.end_reason)
+        )
     elif s.unanswered_since is not None and now - s.unanswered_since > c.UNREACHED_S:
-        # No command that carries this start was ever sent.
-        plan.exits.append(_absent(start, s, "lost", "its machine hears no order"))
+        # No command with this start was ever sent.
+        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", "its machine hears no order"))
     else:
-        plan.calls.append(m.run(*start))
-        plan.runs.append(start)
+        plan.calls.append(m.run(*attempt_id))
+        plan.runs.append(attempt_id)
 
 
-def _absent(start: Start, s: Station, outcome: str, detail: str) -> Exit:
-    return Exit(*start, s.id, outcome, detail, by_absence=True)
+def _exit_by_absence(attempt_id: AttemptId, s: Station, outcome: str, detail: str) -> Exit:
+    return Exit(*attempt_id, s.id, outcome, detail, by_absence=True)
 
 
-def _outcome(entry: Entry) -> str:
+def _exit_outcome(entry: TaskStatus) -> str:
     if entry.why in ("no room", "busy", "unknown"):
         return "refused"
     if entry.why == "stopped":
@@ -286,43 +309,43 @@
     return entry.why or "lost"
 
 
-def _kill(s: Station, start: Start, grace_s: float, now: float, plan: Plan) -> None:
-    key = (start, grace_s > 0)
-    plan.repeats = True
+def _plan_kill(s: Station, attempt_id: AttemptId, grace_s: float, now: float, plan: Plan) -> None:
+    key = (attempt_id, grace_s > 0)
+    plan.needs_replan = True
     if now - s.killed_at.get(key, -1e9) < c.KILL_REPEAT_S:
         return
-    entry = s.entries[start[:2]]
+    entry = s.entries[attempt_id[:2]]
     if entry.state == "saving" and grace_s > 0:
         return
     s.killed_at[key] = now
-    plan.calls.append(m.kill(*start, grace_s))
+    plan.calls.append(m.kill(*attempt_id, grace_s))
 
 
 def forget_kills(s: Station, calls: list[dict[str, Any]]) -> None:
-    """These were never sent: a kill among them is due at once, not after a pause."""
+    """Makes kills among these unsent commands due at once, instead of after `KILL_REPEAT_S`."""
     for call in calls:
         if call["call"] == "kill":
-            start = (*m.split_task(call["lift"]), call["pull"])
-            s.killed_at.pop((start, call["ease_s"] > 0), None)
+            attempt_id = (*m.split_task(call["lift"]), call["pull"])
+            s.killed_at.pop((attempt_id, call["ease_s"] > 0), None)
 
 
-Blame = Literal["job", "machine", "open"]  # who is to blame for a failure, as far as is known
+FailureCause = Literal["job", "machine", "open"]  # of a failure; "open": unknown yet
 
 
-def is_sick(s: Station, now: float, blame: Callable[[str, int], Blame]) -> bool:
-    """Whether the machine is to blame for what failed on it lately.
+def is_sick(s: Station, now: float, cause_of: Callable[[str, int], FailureCause]) -> bool:
+    """Whether the machine caused the task failures seen on it lately.
 
-    `blame`: of a job that failed so often here. Two jobs submitted with a mistake, which fail
-    wherever they are started, condemned one healthy machine after the other: as long as a job has
-    neither failed elsewhere nor come to an end, it takes one more of its kind.
+    `cause_of`: called with a job and how often it failed here. Jobs whose cause is still open count
+    too, but one more job must have failed unless some job is known to work elsewhere: two faulty
+    jobs, which fail on every machine, had healthy machines drained one after the other.
     """
     if not s.errors:
         return False
-    s.errors = [(at, start) for at, start in s.errors if now - at < c.SICK_WINDOW_S]
-    failed = Counter(start[0] for _, start in s.errors)
+    s.errors = [(at, attempt_id) for at, attempt_id in s.errors if now - at < c.SICK_WINDOW_S]
+    failed = Counter(attempt_id[0] for _, attempt_id in s.errors)
     if failed.total() < c.SICK_ERRORS or len(failed) < c.SICK_JOBS:
         return False
-    found = {job: blame(job, n) for job, n in failed.items()}
+    found = {job: cause_of(job, n) for job, n in failed.items()}
     count = Counter(found.values())
     jobs = count["machine"] + count["open"]
     enough = jobs >= (c.SICK_JOBS if count["machine"] else c.SICK_JOBS + 1)
--- a/pulleydeal/workers/wanted.py
+++ b/pulleydeal/workers/wanted.py
@@ -1,32 +1,37 @@
-"""What should be on a machine, by the records: its bindings, and whether each is over."""
+"""Reads from the stored state which tasks belong on a machine, and which must not run."""
 
 from collections.abc import Collection
 
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.station import TaskId, Wanted
+from pulleydeal.workers.station import DesiredTask, TaskId
 
 
-def wanted(replica: Replica, machine: str, relayed: Collection[str]) -> dict[TaskId, Wanted]:
-    """`relayed`: jobs whose cancellation a sibling told, and the copy does not show yet."""
+def desired_tasks(
+    replica: Replica, machine: str, relayed: Collection[str]
+) -> dict[TaskId, DesiredTask]:
+    """The bindings of a machine.
+
+    `relayed`: cancelled jobs that another node announced and the local copy may not show yet.
+    """
     found = {}
     for task_id, task in replica.bound.get(machine, {}).items():
         job = replica.jobs[task_id[0]]
         if job.spec is None:
             continue
-        over = ""
+        end_reason = ""
         if job.id in relayed or job.is_cancelled:
-            over = "cancelled by its user"
+            end_reason = "cancelled by its user"
         elif not job.is_open:
-            over = "its job is done"
+            end_reason = "its job is done"
         elif job.spec.kind == "gang" and _is_broken(replica, task_id, task):
-            over = "its gang lost a task"
-        found[task_id] = Wanted(task, job.spec, over)
+            end_reason = "its gang lost a task"
+        found[task_id] = DesiredTask(task, job.spec, end_reason)
     return found
 
 
 def _is_broken(replica: Replica, task_id: TaskId, task: r.Task) -> bool:
-    """A gang that lost a task can't go on: its last checkpoint is all that is left."""
+    """Whether the gang lost a task: it cannot continue, except from its last checkpoint."""
     job = replica.jobs[task_id[0]]
     assert job.spec is not None
     return any(
