--- a/experiments/profile.py
+++ b/experiments/profile.py
@@ -89,8 +89,8 @@
     "Store._drain (pulleydeal/store/service.py)": CHANGE,
     "Store.commit (pulleydeal/store/service.py)": CHANGE,
     "Fleet.rent (pulleydeal/fleet/service.py)": FLEET,
-    "Fleet._demand (pulleydeal/fleet/service.py)": FLEET,
-    "Fleet.give_back (pulleydeal/fleet/service.py)": FLEET,
+    "Fleet._plan_state (pulleydeal/fleet/service.py)": FLEET,
+    "Fleet.return_machines (pulleydeal/fleet/service.py)": FLEET,
 }
 UNKNOWN = Known("", "")
 # Frames that hold everything below them: nothing is learned from their share.
--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -11,9 +11,9 @@
 from pulleydeal.features.context import FeatureContext, Service, Step
 from pulleydeal.features.settings import Features
 from pulleydeal.features.switch import keeping, switched_on
+from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
-from pulleydeal.fleet.types import Types
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.journal.service import Journal
 from pulleydeal.lateness import Lateness, Precedence
@@ -99,7 +99,7 @@
             policy,
         )
         cloud = Cloud(settings.endpoints.cloud, clock, deployment.cloud.rps)
-        self.types = Types(self.membership, self.store, cloud, clock)
+        self.catalog_updater = CatalogUpdater(self.membership, self.store, cloud, clock)
         self.fleet = Fleet(
             self.membership,
             self.store,
@@ -191,10 +191,10 @@
     def _loops(self) -> dict[str, Step]:
         placement = {"credits": self.credits.work, "placement": self.placement.work}
         upkeep = {
-            "catalogue": self.types.catalog,
+            "catalogue": self.catalog_updater.update,
             "rent": self.fleet.rent,
-            "return": self.fleet.give_back,
-            "list": self.fleet.listing,
+            "return": self.fleet.return_machines,
+            "list": self.fleet.check_listing,
             "journal": self.journal.tidy,
         }
         return {
--- a/pulleydeal/fleet/types.py
+++ b/pulleydeal/fleet/catalog.py
@@ -6,7 +6,7 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
 from pulleydeal.fleet import plan
-from pulleydeal.fleet.cloud import Cloud, CloudTrouble, NoCapacity
+from pulleydeal.fleet.cloud import Cloud, CloudError, NoCapacity
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
 from pulleydeal.store.service import Store
@@ -14,7 +14,7 @@
 log = logging.getLogger("pulleydeal.fleet")
 
 
-class Types:
+class CatalogUpdater:
     """Refreshes the catalogue of machine types on the node that leads the fleet."""
 
     def __init__(self, membership: Membership, store: Store, cloud: Cloud, clock: Clock) -> None:
@@ -25,15 +25,15 @@
         self._clock = clock
         self._refreshed_at = -1e9
 
-    async def catalog(self) -> None:
+    async def update(self) -> None:
         """One round: records the cloud's types and prices in the state service if they changed."""
         await asyncio.sleep(0.1)
         stale = self._clock.now() - self._refreshed_at > c.CATALOG_EVERY_S
         if not self._membership.leads_fleet() or not (stale or not self._replica.types):
             return
         try:
-            catalog = r.Catalog(await self._cloud.catalog())
-        except (CloudTrouble, NoCapacity) as error:
+            catalog = r.Catalog(await self._cloud.fetch_catalog())
+        except (CloudError, NoCapacity) as error:
             log.info("catalogue call to the cloud failed: %s", error)
             # If types are known only prices are stale, and rentals and returns need the calls more.
             await asyncio.sleep(c.CATALOG_RETRY_S if self._replica.types else c.LOOP_PAUSE_S)
--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -13,12 +13,12 @@
 from pulleydeal.store.records import MachineType
 
 
-class CloudTrouble(Exception):
+class CloudError(Exception):
     """A call that was refused or not answered; an unanswered one may still be executed."""
 
     def __init__(self, reason: str, executed: bool) -> None:
         super().__init__(reason)
-        self.may_be_executed = executed
+        self.may_have_executed = executed
 
 
 class NoCapacity(Exception):
@@ -31,11 +31,11 @@
 T = TypeVar("T")
 
 
-def _understood(decoder: Decoder[T], reply: bytes) -> T:
+def _decode(decoder: Decoder[T], reply: bytes) -> T:
     try:
         return decoder.decode(reply)
     except MALFORMED as error:  # the call may have been executed
-        raise CloudTrouble(f"malformed answer from the cloud: {error}", True) from error
+        raise CloudError(f"malformed answer from the cloud: {error}", True) from error
 
 
 class Cloud:
@@ -51,33 +51,33 @@
         try:
             status, reply = await self._http.request(method, path, body, c.CLOUD_TIMEOUT_S)
         except NoAnswer as error:
-            raise CloudTrouble(str(error), error.sent) from error
+            raise CloudError(str(error), error.sent) from error
         if status == 503 and b"capacity" in reply:
             raise NoCapacity
         if status != 200:
             executed = status not in NOT_EXECUTED_STATUSES
-            raise CloudTrouble(f"{method} {path}: {status} {reply[:100]!r}", executed)
+            raise CloudError(f"{method} {path}: {status} {reply[:100]!r}", executed)
         return reply
 
-    async def catalog(self) -> list[MachineType]:
+    async def fetch_catalog(self) -> list[MachineType]:
         return [
             t.machine_type()
-            for t in _understood(m.CATALOG, await self._call("GET", "/catalog")).types
+            for t in _decode(m.CATALOG_DECODER, await self._call("GET", "/catalog")).types
         ]
 
     async def rent(self, request: str, type_: str, zone: str, spot: bool, count: int) -> list[str]:
         body = m.rental_request(request, type_, zone, spot, count)
-        return _understood(m.RENTED, await self._call("POST", "/rentals", body)).machines
+        return _decode(m.RENTAL_DECODER, await self._call("POST", "/rentals", body)).machines
 
-    async def give_back(self, machines: list[str]) -> None:
+    async def return_machines(self, machines: list[str]) -> None:
         await self._call("POST", "/rentals/return", m.return_request(machines))
 
-    async def listing(self) -> list[m.ListedMachine]:
+    async def list_machines(self) -> list[m.ListedMachine]:
         machines: list[m.ListedMachine] = []
         path = f"/rentals?limit={c.LIST_PAGE}"
         while True:
             after = f"&after={machines[-1].id}" if machines else ""
-            page = _understood(m.LISTING, await self._call("GET", path + after))
+            page = _decode(m.LISTING_DECODER, await self._call("GET", path + after))
             machines += page.machines
             if not page.more or not page.machines:
                 return machines
--- a/pulleydeal/fleet/messages.py
+++ b/pulleydeal/fleet/messages.py
@@ -56,9 +56,9 @@
     more: bool = msgspec.field(name="truncated", default=False)
 
 
-CATALOG = msgspec.json.Decoder(CloudCatalog)
-RENTED = msgspec.json.Decoder(RentalAnswer)
-LISTING = msgspec.json.Decoder(MachineList)
+CATALOG_DECODER = msgspec.json.Decoder(CloudCatalog)
+RENTAL_DECODER = msgspec.json.Decoder(RentalAnswer)
+LISTING_DECODER = msgspec.json.Decoder(MachineList)
 
 
 def rental_request(
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -8,7 +8,7 @@
 from pulleydeal import rules
 from pulleydeal.clock import Clock
 from pulleydeal.fleet import plan
-from pulleydeal.fleet.cloud import Cloud, CloudTrouble, NoCapacity
+from pulleydeal.fleet.cloud import Cloud, CloudError, NoCapacity
 from pulleydeal.fleet.machine_records import FAILED, NEVER_CAME_UP, MachineRecords
 from pulleydeal.fleet.messages import ListedMachine
 from pulleydeal.membership.service import Membership
@@ -102,7 +102,7 @@
                 *(self._request_rental(name) for name in list(self._replica.rentals))
             )
             return
-        needed = plan.plan_rentals(self._demand())
+        needed = plan.plan_rentals(self._plan_state())
         names = []
         for (type_, zone, spot), count in needed.items():
             # The name stays the same until the write is answered, so that an unanswered write that
@@ -136,7 +136,7 @@
             self._unanswered_rental = ""
         return written
 
-    def _demand(self) -> plan.PlanState:
+    def _plan_state(self) -> plan.PlanState:
         now = self._clock.now()
         self._unavailable = {k: until for k, until in self._unavailable.items() if until > now}
         jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
@@ -209,10 +209,10 @@
                 rec.zone,
                 " (spot)" if rec.spot else "",
             )
-        except CloudTrouble as error:
+        except CloudError as error:
             log.info("rental %s failed: %s", name, error)
             await asyncio.sleep(c.LOOP_PAUSE_S)
-            if error.may_be_executed or "429" in str(error):
+            if error.may_have_executed or "429" in str(error):
                 return  # repeated by the same name
         if len(machines) < rec.count:
             self._unavailable[kind] = self._clock.now() + c.REFUSED_S
@@ -236,14 +236,14 @@
                 return  # a record changed: the next round repeats the whole rental
 
     # --- the cloud's list -----------------------------------------------------------------
-    async def listing(self) -> None:
+    async def check_listing(self) -> None:
         """One round: marks machines that the cloud lists as failed or that never came up."""
         await asyncio.sleep(c.LIST_EVERY_S)
         if not self._membership.leads_fleet():
             return
         try:
-            listed = await self._cloud.listing()
-        except (CloudTrouble, NoCapacity) as error:
+            listed = await self._cloud.list_machines()
+        except (CloudError, NoCapacity) as error:
             log.debug("listing of machines failed: %s", error)
             return
         failed = []
@@ -267,16 +267,16 @@
     def _is_boot_overdue(self, age_s: float, type_: r.MachineType) -> bool:
         return age_s > c.BOOT_FACTOR * type_.boot_s + c.LIST_EVERY_S
 
-    async def _return_machines(self, machines: list[str]) -> bool:
+    async def _return_batch(self, machines: list[str]) -> bool:
         try:
-            await self._cloud.give_back(machines)
-        except (CloudTrouble, NoCapacity) as error:
+            await self._cloud.return_machines(machines)
+        except (CloudError, NoCapacity) as error:
             log.info("return of machines %s failed: %s", machines, error)
             return False
         return True
 
     # --- returning ------------------------------------------------------------------------
-    async def give_back(self) -> None:
+    async def return_machines(self) -> None:
         """One round: marks unused machines, and returns marked machines once they are empty."""
         await asyncio.sleep(c.FLEET_TICK_S)
         if not self._membership.leads_fleet():
@@ -288,7 +288,7 @@
         ready = [m for m in self._replica.machines.values() if self._is_returnable(m)]
         for start in range(0, len(ready), c.RETURN_BATCH):
             batch = ready[start : start + c.RETURN_BATCH]
-            if await self._return_machines([m.id for m in batch]):
+            if await self._return_batch([m.id for m in batch]):
                 await self._records.record_gone([machine.id for machine in batch])
         await self._records.purge()
 
@@ -317,7 +317,7 @@
     async def _mark_unused(self) -> None:
         now, wall = self._clock.now(), self._clock.wall()
         idle: dict[str, float] = {}
-        state = self._demand()
+        state = self._plan_state()
         plan.plan_rentals(state)  # machines that waiting tasks will use are not unused
         unused = plan.unused_machines(state)
         overdue_machines = []
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -16,9 +16,9 @@
 from pulleydeal.workers.station import Station
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide, losses
-from pulleydeal.zones.hearing import DeafnessMonitor
+from pulleydeal.zones.deafness import DeafnessMonitor
 from pulleydeal.zones.messages import NODE_STATUS, NodeStatus, pack, unpack
-from pulleydeal.zones.watch import ZoneMonitor
+from pulleydeal.zones.monitor import ZoneMonitor
 
 log = logging.getLogger("pulleydeal.zones")
 
--- a/tests/model/__main__.py
+++ b/tests/model/__main__.py
@@ -4,7 +4,7 @@
 import time
 
 from tests.model import blind_owner
-from tests.model.cut_zone import CHANGES, GUARDS, explore, explore_without
+from tests.model.cut_zone import GUARDS, LINK_CHANGES, explore, explore_without
 
 
 def main() -> int:
@@ -17,7 +17,7 @@
     for guard in GUARDS:
         print(
             f"\n[{guard}]",
-            *explore_without(guard, CHANGES.get(guard, 2), 3),
+            *explore_without(guard, LINK_CHANGES.get(guard, 2), 3),
             sep="\n",
         )
     started = time.perf_counter()
--- a/tests/model/cut_zone.py
+++ b/tests/model/cut_zone.py
@@ -381,7 +381,7 @@
     ),
 }
 
-CHANGES = {"keeps without being a member": 3}  # link changes, where the default of two is too few
+LINK_CHANGES = {"keeps without being a member": 3}  # where the default of two is too few
 
 
 def explore_without(guard: str, max_changes: int, max_epoch: int) -> list[str]:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -9,9 +9,9 @@
 from pulleydeal import constants as c
 from pulleydeal.cli import main
 from pulleydeal.clock import SystemClock
-from pulleydeal.fleet.cloud import CloudTrouble
-from pulleydeal.fleet.cloud import _understood as understood_cloud
-from pulleydeal.fleet.messages import CATALOG, LISTING
+from pulleydeal.fleet.cloud import CloudError
+from pulleydeal.fleet.cloud import _decode as understood_cloud
+from pulleydeal.fleet.messages import CATALOG_DECODER, LISTING_DECODER
 from pulleydeal.http import MALFORMED, Client, Request, Response, Server, answer
 from pulleydeal.settings import SettingsError, Team, load
 from pulleydeal.store import records as r
@@ -133,13 +133,21 @@
 )
 def test_a_deeply_nested_body_counts_as_malformed(nested: bytes) -> None:
     """It once ended in a traceback and 503, which users retry for a minute."""
-    for decoder in (m.SUBMISSION, REPORT, CATALOG, LISTING, PAGE, CHANGES, REVISION):
+    for decoder in (
+        m.SUBMISSION,
+        REPORT,
+        CATALOG_DECODER,
+        LISTING_DECODER,
+        PAGE,
+        CHANGES,
+        REVISION,
+    ):
         with pytest.raises(MALFORMED):
             decoder.decode(nested)
     with pytest.raises(Unknown):
         understood_state(PAGE, nested)
-    with pytest.raises(CloudTrouble):
-        understood_cloud(LISTING, nested)
+    with pytest.raises(CloudError):
+        understood_cloud(LISTING_DECODER, nested)
 
 
 def test_a_failing_handler_is_answered_503_with_retry_after() -> None:
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.service import Fleet
-from pulleydeal.fleet.types import Types
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import StateLimits, Team
 from pulleydeal.store import messages as m
@@ -180,15 +180,15 @@
             pending.append((conditions, puts))
             raise Unknown("no answer")
 
-        async def catalog() -> list[r.MachineType]:
+        async def fetch_catalog() -> list[r.MachineType]:
             return [TYPE, msgspec.structs.replace(TYPE, name="t8")]
 
         me: Any = node
-        types = Types(me, me, me, me)
-        node.catalog = catalog  # type: ignore[attr-defined]
+        updater = CatalogUpdater(me, me, me, me)
+        node.fetch_catalog = fetch_catalog  # type: ignore[attr-defined]
         node.commit, execute = commit_late, node.commit  # type: ignore[method-assign]
         try:
-            await types.catalog()
+            await updater.update()
         except Unknown:
             newest = r.Catalog([msgspec.structs.replace(TYPE, name="t9")])
             node.put({r.CATALOG: newest}, [])
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -4,9 +4,9 @@
 record of it. The list lags by up to ten seconds and the leader's copy may lag too: the machine may
 be up by now, recorded by its owner and with tasks bound to it. Returning it loses their work.
 
-`Fleet.listing` checked only the leader's own copy, after waiting for the list, and nothing durable
-stood between that check and the return. All other machines are marked before they are returned,
-and bindings fail on the mark. The fault was found by reading (the open row of
+`Fleet.check_listing` checked only the leader's own copy, after waiting for the list, and nothing
+durable stood between that check and the return. All other machines are marked before they are
+returned, and bindings fail on the mark. The fault was found by reading (the open row of
 docs/incidents/ran-twice-at-size.md); it shows as `returned == ["vm-000009"]` below.
 """
 
@@ -30,7 +30,7 @@
         self.recorded = recorded
         self.returned: list[str] = []
 
-    async def listing(self) -> list[m.ListedMachine]:
+    async def list_machines(self) -> list[m.ListedMachine]:
         return [self.entry]
 
     async def return_machines(self, machines: list[str]) -> None:
@@ -46,8 +46,8 @@
 
 class Cloud:
     def __init__(self, leader: FakeLeader) -> None:
-        self.listing = leader.listing
-        self.give_back = leader.return_machines
+        self.list_machines = leader.list_machines
+        self.return_machines = leader.return_machines
 
 
 def run_rounds(state: Any, recorded: bool) -> FakeLeader:
@@ -56,8 +56,8 @@
         leader = FakeLeader(entry, recorded)
         leader.fleet._cloud = Cloud(leader)  # type: ignore[assignment]
         for _ in range(3):
-            await leader.fleet.listing()
-            await leader.fleet.give_back()
+            await leader.fleet.check_listing()
+            await leader.fleet.return_machines()
         await asyncio.sleep(0)
         return leader
 
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -26,7 +26,7 @@
 
 from experiments.answers import played
 from pulleydeal import constants as c
-from pulleydeal.fleet.cloud import Cloud, CloudTrouble
+from pulleydeal.fleet.cloud import Cloud, CloudError
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import records as r
@@ -258,7 +258,7 @@
         await asyncio.sleep(0.1)
         try:
             await on_host(Host("10.0.0.1", ""), call("10.2.0.1:80", clock))
-        except (*StateTrouble, CloudTrouble) as error:
+        except (*StateTrouble, CloudError) as error:
             raised.append(error)
         await end_connections()
 
@@ -283,11 +283,11 @@
 @pytest.mark.parametrize("status", ODD_STATUSES)
 def test_a_rental_may_have_been_executed_whatever_odd_status_came(status: int) -> None:
     error = asked(status, rent)
-    assert isinstance(error, CloudTrouble) and error.may_be_executed
+    assert isinstance(error, CloudError) and error.may_have_executed
 
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_what_was_refused_was_not_executed(status: int) -> None:
     assert not isinstance(asked(status, commit), Unknown)
     error = asked(status, rent)
-    assert isinstance(error, CloudTrouble) and not error.may_be_executed
+    assert isinstance(error, CloudError) and not error.may_have_executed
