--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -25,7 +25,7 @@
 
 from experiments.answers import played
 from pulleydeal import constants as c
-from pulleydeal.fleet.cloud import Cloud, CloudTrouble
+from pulleydeal.fleet.cloud import Cloud, CloudError
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import records as r
@@ -267,7 +267,7 @@
         await asyncio.sleep(0.1)
         try:
             await on_host(Host("10.0.0.1", ""), call("10.2.0.1:80", clock))
-        except (*StateErrors, CloudTrouble) as error:
+        except (*StateErrors, CloudError) as error:
             raised.append(error)
         await cancel_other_tasks()
 
@@ -292,11 +292,11 @@
 @pytest.mark.parametrize("status", ODD_STATUSES)
 def test_rental_may_have_been_executed_after_an_unexpected_status(status: int) -> None:
     error = error_for_status(status, rent)
-    assert isinstance(error, CloudTrouble) and error.may_be_executed
+    assert isinstance(error, CloudError) and error.may_have_executed
 
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_refused_calls_were_not_executed(status: int) -> None:
     assert not isinstance(error_for_status(status, commit), Unknown)
     error = error_for_status(status, rent)
-    assert isinstance(error, CloudTrouble) and not error.may_be_executed
+    assert isinstance(error, CloudError) and not error.may_have_executed
