--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -10,7 +10,7 @@
 from pulleydeal.credits.service import Credits
 from pulleydeal.features.context import FeatureContext, Service, Step
 from pulleydeal.features.settings import Features
-from pulleydeal.features.switch import keeping, switched_on
+from pulleydeal.features.switch import partition_policy, switched_on
 from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
@@ -30,7 +30,7 @@
 from pulleydeal.submissions.service import Submissions
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 log = logging.getLogger("pulleydeal")
 
@@ -58,21 +58,21 @@
         self.membership = Membership(settings, self.store, self.siblings, clock, rng)
         self.journal = self.store.journal = Journal(self.membership, self.store, Backoff(rng))
         teams, zones = settings.teams, deployment.zones
-        stations: dict[str, Station] = {}
+        machines: dict[str, TrackedMachine] = {}
         context = FeatureContext(
-            self.membership, self.siblings, self.store, clock, self.metrics, deployment, stations
+            self.membership, self.siblings, self.store, clock, self.metrics, deployment, machines
         )
-        kept, found = keeping(features, context)
+        kept, found = partition_policy(features, context)
         self.workers = Workers(
-            self.membership, self.store, deployment.workers, clock, self.metrics, stations, kept
+            self.membership, self.store, deployment.workers, clock, self.metrics, machines, kept
         )
         self.eviction = Eviction(
             self.membership,
             self.store,
             deployment.workers,
             clock,
-            stations,
-            self.workers.commanding,
+            machines,
+            self.workers.commander,
             kept,
             rules.aimed(deployment.objectives),
         )
@@ -110,7 +110,7 @@
             clock,
             limits,
             policy,
-            self.eviction.unseen_zones,
+            self.eviction.unreachable_zones,
             kept,
         )
         self.submissions = Submissions(
@@ -138,7 +138,7 @@
             clock,
             self.metrics,
             deployment,
-            stations,
+            machines,
             teams,
             zones,
             kept,
@@ -204,7 +204,7 @@
             "view": self.membership.tend,
             "beat": self.membership.beat,
             "workers": self.workers.work,
-            "machines": self.eviction.tend,
+            "machines": self.eviction.run_round,
             **{k: self._put_off(Precedence.PLACEMENT, step) for k, step in placement.items()},
             **{k: self._put_off(Precedence.UPKEEP, step) for k, step in upkeep.items()},
         }
--- a/pulleydeal/credits/making.py
+++ b/pulleydeal/credits/making.py
@@ -11,7 +11,7 @@
 from pulleydeal.settings import Objective
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 
 class CreditMaker:
@@ -23,7 +23,7 @@
         images: ImageLocations,
         objectives: list[Objective],
         clock: Clock,
-        is_silent: Callable[[Station], bool],
+        is_silent: Callable[[TrackedMachine], bool],
     ) -> None:
         self._replica = replica
         self._images = images
@@ -37,30 +37,30 @@
         """Clears the cached risks, which change with time."""
         self._at_risk.clear()
 
-    def offers_credit(self, station: Station) -> bool:
+    def offers_credit(self, tracked: TrackedMachine) -> bool:
         """Whether tasks may be started on the machine, capacity permitting."""
-        record = self._replica.machines.get(station.id)
-        if record is None or record.record.state != "up" or station.type not in self._replica.types:
+        record = self._replica.machines.get(tracked.id)
+        if record is None or record.record.state != "up" or tracked.type not in self._replica.types:
             return False
-        if not station.trusted or station.notice_at is not None:
+        if not tracked.trusted or tracked.notice_at is not None:
             return False
         # A machine that reports but does not answer orders can't be told to start anything.
-        return not self._is_silent(station) and station.unanswered_since is None
+        return not self._is_silent(tracked) and tracked.unanswered_since is None
 
     def credit(
-        self, station: Station, held: Iterable[tuple[TaskId, Need]], reserved: TaskId | None
+        self, tracked: TrackedMachine, held: Iterable[tuple[TaskId, Need]], reserved: TaskId | None
     ) -> Credit | None:
         """Returns the machine's credit, or None if nothing may be started there now.
 
         `held`: tasks that have capacity held on the machine. `reserved`: the task for which the
         machine was emptied by preemption.
         """
-        if not self.offers_credit(station):
+        if not self.offers_credit(tracked):
             return None
-        type_ = self._replica.types[station.type]
+        type_ = self._replica.types[tracked.type]
         room = Room(type_.cpus, type_.gpus, type_.memory)
         victims = []
-        bound = self._replica.bound.get(station.id, {})
+        bound = self._replica.bound.get(tracked.id, {})
         for (job_id, index), task in bound.items():
             spec = self._replica.jobs[job_id].spec
             if spec is None:
@@ -68,7 +68,7 @@
             room.take(resources_needed(spec))
             if not task.stop and spec.priority < len(r.PRIORITIES) - 1:
                 victims.append(_victim(index, task, spec, self._would_miss_objective(job_id)))
-        for task_id, entry in station.entries.items():
+        for task_id, entry in tracked.tasks.items():
             job = self._replica.jobs.get(task_id[0])
             if task_id not in bound and entry.state != "exited" and job and job.spec:
                 # No longer bound, but it uses capacity until it is killed.
@@ -76,14 +76,14 @@
         for task_id, need in held:
             if task_id not in bound:
                 room.take(need)
-        fetching = self._images_being_fetched(station)
+        fetching = self._images_being_fetched(tracked)
         return Credit(
-            station.id,
-            station.type,
-            station.zone,
-            station.spot,
+            tracked.id,
+            tracked.type,
+            tracked.zone,
+            tracked.spot,
             room,
-            self._images.cached_on(station.id) - fetching,
+            self._images.cached_on(tracked.id) - fetching,
             fetching,
             reserved,
             victims,
@@ -97,13 +97,13 @@
             self._at_risk[job_id] = result
         return result
 
-    def _images_being_fetched(self, station: Station) -> frozenset[str]:
+    def _images_being_fetched(self, tracked: TrackedMachine) -> frozenset[str]:
         """Images that the machine is still downloading.
 
         A binding counts its image as cached at once, but the download may take most of a minute.
         """
         result = set()
-        for (job_id, _), entry in station.entries.items():
+        for (job_id, _), entry in tracked.tasks.items():
             job = self._replica.jobs.get(job_id)
             if entry.state == "fetching" and job is not None and job.spec is not None:
                 result.add(job.spec.image)
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -40,7 +40,7 @@
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 log = logging.getLogger("pulleydeal.credits")
 
@@ -93,7 +93,7 @@
         self._wake = asyncio.Event()
         siblings.on(ASK, self._on_ask)
         siblings.on(FREE, self._on_free)
-        workers.changed = self._mark_dirty
+        workers.on_credit_change = self._mark_dirty
         membership.totals = lambda: self._published
         replica.listen(self._on_change)
 
@@ -118,7 +118,7 @@
         self._wake.set()
 
     def _all_machines(self) -> list[str]:
-        return [*self._workers.stations, *self._queue.credits]
+        return [*self._workers.machines, *self._queue.credits]
 
     # --- messages -----------------------------------------------------------------------
     def _on_ask(self, leader: str, payload: bytes) -> None:
@@ -169,11 +169,11 @@
         asyncio.get_running_loop().call_soon(self._siblings.send, leader, HOLD, pack_hold(hold))
 
     # --- credits --------------------------------------------------------------------------
-    def _credit(self, station: Station) -> Credit | None:
-        keys = self._holds_by_machine.get(station.id, ())
-        reserved = self._reservations.get(station.id)
+    def _credit(self, tracked: TrackedMachine) -> Credit | None:
+        keys = self._holds_by_machine.get(tracked.id, ())
+        reserved = self._reservations.get(tracked.id)
         held = [(key, self._holds[key].need) for key in keys]
-        return self._maker.credit(station, held, reserved[0] if reserved else None)
+        return self._maker.credit(tracked, held, reserved[0] if reserved else None)
 
     def _teams_over_guarantee(self) -> set[str]:
         """Teams that use more than their guarantee."""
@@ -198,8 +198,8 @@
 
     def _reservation_is_useful(self, machine: str, key: TaskId) -> bool:
         waiting = self._waiting.get(key)
-        station = self._workers.stations.get(machine)
-        return waiting is not None and station is not None and station.zone in waiting.request.zones
+        tracked = self._workers.machines.get(machine)
+        return waiting is not None and tracked is not None and tracked.zone in waiting.request.zones
 
     def _renew(self) -> list[Credit]:
         """Recomputes the credits of dirty machines and returns the credits that changed.
@@ -210,8 +210,8 @@
         self._maker.begin_round()
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
-            station = self._workers.stations.get(machine)
-            credit = self._credit(station) if station is not None else None
+            tracked = self._workers.machines.get(machine)
+            credit = self._credit(tracked) if tracked is not None else None
             if credit is None:
                 self._unpublished |= machine in self._queue.credits
                 self._queue.remove(machine)
@@ -253,10 +253,10 @@
         stopping tasks changes with time: recomputing credits takes 281 ms for 1,600 machines, so
         its period grows with their number.
         """
-        machines = len(self._workers.stations)
+        machines = len(self._workers.machines)
         for machine in self._silence_sweep.due(now, c.CREDIT_SWEEP_S):
-            station = self._workers.stations.get(machine)
-            offers_credit = station is not None and self._maker.offers_credit(station)
+            tracked = self._workers.machines.get(machine)
+            offers_credit = tracked is not None and self._maker.offers_credit(tracked)
             if offers_credit != (machine in self._queue.credits):
                 self._dirty.add(machine)
         period_s = max(c.CREDIT_SWEEP_S, machines / c.CREDITS_SWEPT_A_SECOND)
--- a/pulleydeal/features/context.py
+++ b/pulleydeal/features/context.py
@@ -13,8 +13,8 @@
 from pulleydeal.settings import Deployment, Team
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Store
-from pulleydeal.workers.keeping import Keeping
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.partition_policy import PartitionPolicy
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 if TYPE_CHECKING:
     from pulleydeal.features.routes import Route
@@ -47,7 +47,7 @@
     clock: Clock
     metrics: Metrics
     deployment: Deployment
-    stations: dict[str, Station]  # machines that this node owns
+    machines: dict[str, TrackedMachine]  # machines that this node owns
 
     @property
     def replica(self) -> Replica:
@@ -60,7 +60,7 @@
 
     teams: dict[str, Team]
     zones: list[str]
-    keeping: Keeping
+    partition_policy: PartitionPolicy
     ready: Callable[[], bool]  # whether users are answered here
     reason: Callable[[str], str]  # why a job's tasks wait
     journal: Journal
--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -2,13 +2,15 @@
 
 from pulleydeal.features.context import Feature, FeatureContext, Service
 from pulleydeal.features.settings import Features
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 
-def keeping(features: Features, context: FeatureContext) -> tuple[Keeping, list[Feature]]:
+def partition_policy(
+    features: Features, context: FeatureContext
+) -> tuple[PartitionPolicy, list[Feature]]:
     """Who may renew, prove and tell; and the feature that says so, if one is on."""
     if features.zones is None:
-        return Keeping(), []
+        return PartitionPolicy(), []
     from pulleydeal.zones.service import Zones
 
     zones = Zones(context)
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -21,12 +21,12 @@
 from pulleydeal.store.replica import Machine
 from pulleydeal.store.service import Store
 from pulleydeal.workers.eviction import IDLE
-from pulleydeal.workers.keeping import OUT_OF_SIGHT, Keeping
+from pulleydeal.workers.partition_policy import UNREACHABLE_REASONS, PartitionPolicy
 
 log = logging.getLogger("pulleydeal.fleet")
 
 # Reasons to return a machine with its tasks: the cloud's answer proves that they are gone.
-RETURN_WITH_TASKS = ("silent", "sick", FAILED, NEVER_CAME_UP, *OUT_OF_SIGHT)
+RETURN_WITH_TASKS = ("silent", "sick", FAILED, NEVER_CAME_UP, *UNREACHABLE_REASONS)
 
 
 class Fleet:
@@ -44,10 +44,10 @@
         limits: StateLimits,
         policy: Policy,
         unseen_zones: Callable[[], set[str]],
-        keeping: Keeping,
+        partition_policy: PartitionPolicy,
     ) -> None:
         self._unseen_zones = unseen_zones
-        self._keeping = keeping
+        self._partition_policy = partition_policy
         self._policy = policy
         self._membership = membership
         self._store = store
@@ -165,7 +165,7 @@
             set(self._unavailable),
             self._headroom(boot_s),
             expected_ends=plan.expected_ends(jobs, boot_s),
-            excluded_zones=unseen_zones | self._keeping.distrusted(),
+            excluded_zones=unseen_zones | self._partition_policy.excluded_zones(),
             target_classes=self._target_classes,
             wall=self._clock.wall(),
             spot_types=plan.worthwhile_spot_types(self._replica.types, self._policy),
@@ -295,7 +295,7 @@
     async def _mark_out_of_sight(self) -> None:
         """Marks machines out of sight whose tasks only a return can prove gone."""
         found: dict[str, list[Machine]] = {}
-        for name, why in self._keeping.owed().items():
+        for name, why in self._partition_policy.machines_to_return().items():
             machine = self._replica.machines[name]
             if (
                 machine.record.state in ("up", "drain")
--- a/pulleydeal/placement/cleaning.py
+++ b/pulleydeal/placement/cleaning.py
@@ -10,7 +10,7 @@
 from pulleydeal.store.rate import Turn
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_exit
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 
 log = logging.getLogger("pulleydeal.placement")
 
@@ -55,7 +55,7 @@
                 proof = Exit(job_id, index, task.attempt, machine, "lost", reason)
                 log.info("task %s attempt %d lost: machine %s is gone", key, task.attempt, machine)
                 future = self._store.change_job(
-                    job_id, partial(apply_exit, gone=proof), turn=Turn.WORK
+                    job_id, partial(apply_exit, task_exit=proof), turn=Turn.WORK
                 )
                 future.add_done_callback(partial(self._finished, key))
 
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -250,5 +250,7 @@
         old = self.replica.jobs.get(st.job_id(name, line.id, mark.job_at))
         if old is not None and old.record is not None and old.record.state == "open":
             key = r.job_key(old.id)
-            also[key] = r.cancelled(old.record, old.spec, wall, self.node.keeping.holds_back())
+            also[key] = r.cancelled(
+                old.record, old.spec, wall, self.node.partition_policy.defers_cancellations()
+            )
             also_read[key] = old.version
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -243,5 +243,7 @@
         if job is None or job.record is None or job.record.state != "open":
             return
         key = r.job_key(job.id)
-        also[key] = r.cancelled(job.record, job.spec, wall, self.node.keeping.holds_back())
+        also[key] = r.cancelled(
+            job.record, job.spec, wall, self.node.partition_policy.defers_cancellations()
+        )
         also_read[key] = job.version
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -26,7 +26,7 @@
 from pulleydeal.store.service import Store
 from pulleydeal.submissions import messages as m
 from pulleydeal.submissions.admission import Admission
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 log = logging.getLogger("pulleydeal.submissions")
 JOB_ID = re.compile(m.JOB_ID)
@@ -67,7 +67,7 @@
         clock: Clock,
         metrics: Metrics,
         waiting_reason: Callable[[str], str],
-        keeping: Keeping,
+        partition_policy: PartitionPolicy,
     ) -> None:
         self._membership = membership
         self._store = store
@@ -79,7 +79,7 @@
         self._decisions = DecisionLog(membership, store, clock, metrics)
         self._waiting_reason = waiting_reason
         self._admission = Admission()
-        self._keeping = keeping
+        self._partition_policy = partition_policy
 
     @property
     def ready(self) -> bool:
@@ -235,7 +235,7 @@
         job = await self._current_job(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
-        if self._unconfirmed(job) and self._keeping.may_tell(job):
+        if self._unconfirmed(job) and self._partition_policy.may_confirm_cancel(job):
             await self._confirm_cancellation(job)
             job = self._replica.jobs.get(job_id, job)  # the replica may have been reloaded
         # A node of an older version would show the job as cancelled at once, so this one must not
@@ -263,7 +263,7 @@
         """Durably records that the cancellation may be shown; from then on every node shows it."""
 
         def confirm(draft: Draft) -> None:
-            if self._keeping.may_tell(draft.job):
+            if self._partition_policy.may_confirm_cancel(draft.job):
                 draft.untold = False
 
         await asyncio.shield(self._store.change_job(job.id, confirm, turn=Turn.FIRST))
@@ -306,7 +306,7 @@
                 self._store.change_job(job_id, self._mark_cancelled, turn=Turn.FIRST)
             )
             log.info("job %s: cancellation requested by its user", job_id, extra={"job": job_id})
-        if self._unconfirmed(job) and await self._keeping.comes_to_be_told(job):
+        if self._unconfirmed(job) and await self._partition_policy.wait_until_confirmable(job):
             await self._confirm_cancellation(job)
         if not self._is_final(job):
             return answer(503, {"error": "try again"}, c.RETRY_AFTER_S)
@@ -319,4 +319,4 @@
             # Nodes that lose the state service before they know this one as a member don't ask for
             # its heartbeats: it then confirms only once the job's tasks are proved gone.
             known = self._membership.known_as_member()
-            draft.untold = self._keeping.holds_back() or not known
+            draft.untold = self._partition_policy.defers_cancellations() or not known
--- a/pulleydeal/workers/changes.py
+++ b/pulleydeal/workers/changes.py
@@ -2,21 +2,21 @@
 
 from pulleydeal import constants as c
 from pulleydeal.store.draft import Draft
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 
 
-def apply_exit(draft: Draft, gone: Exit) -> None:
+def apply_exit(draft: Draft, task_exit: Exit) -> None:
     """Unbinds a task that is proved to have ended, and marks it done if it succeeded."""
-    old = draft.task(gone.index)
-    if old.machine != gone.machine or old.attempt != gone.attempt:
+    old = draft.task(task_exit.index)
+    if old.machine != task_exit.machine or old.attempt != task_exit.attempt:
         return
-    task = draft.edit(gone.index)
+    task = draft.edit(task_exit.index)
     if task is None:
         return
     task.machine = ""
     task.stop = ""
-    task.why = gone.detail
-    if gone.outcome == "done":
+    task.why = task_exit.detail
+    if task_exit.outcome == "done":
         task.why = ""
         if draft.spec.kind != "service":
             task.done = True
@@ -24,9 +24,9 @@
             # PROTOCOL: the tasks of a gang complete together, so one done means all done.
             for index in range(draft.spec.tasks):
                 peer = draft.edit(index)
-                if peer is not None and peer.attempt == gone.attempt:
+                if peer is not None and peer.attempt == task_exit.attempt:
                     peer.done = True
-    if gone.outcome == "error":
+    if task_exit.outcome == "error":
         task.fails = min(task.fails + 1, c.MAX_FAILS)
 
 
--- a/pulleydeal/workers/commanding.py
+++ b/pulleydeal/workers/commander.py
@@ -12,16 +12,16 @@
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
-from pulleydeal.workers.ends import ExitRecorder
+from pulleydeal.workers.exits import ExitRecorder
 from pulleydeal.workers.incarnation import KnownState
 from pulleydeal.workers.orders import Orders
 from pulleydeal.workers.outcomes import OrderResult, Outcome
-from pulleydeal.workers.station import AttemptId, Station
+from pulleydeal.workers.tracked_machine import AttemptId, TrackedMachine
 
 log = logging.getLogger("pulleydeal.workers")
 
 Calls = list[dict[str, Any]]
-ReportHandler = Callable[[Station, m.Report, KnownState | None], None]
+ReportHandler = Callable[[TrackedMachine, m.Report, KnownState | None], None]
 
 
 class Commander:
@@ -38,7 +38,7 @@
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
-        stations: dict[str, Station],
+        machines: dict[str, TrackedMachine],
         exits: ExitRecorder,
         on_report: ReportHandler,
         replan: Callable[[str], None],
@@ -49,31 +49,31 @@
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
-        self._stations = stations
+        self._machines = machines
         self._exits = exits
         self._replan = replan
         self.on_report = on_report
         self.on_reachability_change = on_reachability_change
         self.orders = Orders(clock, self)
 
-    def token(self, station: Station) -> int:
-        return views.token(self._membership.epoch, station.fence)
+    def token(self, tracked: TrackedMachine) -> int:
+        return views.token(self._membership.epoch, tracked.fence)
 
-    def authority(self, station: Station) -> CommandAuthority:
-        return CommandAuthority(self._membership.epoch, self.token(station), station.session)
+    def authority(self, tracked: TrackedMachine) -> CommandAuthority:
+        return CommandAuthority(self._membership.epoch, self.token(tracked), tracked.session)
 
-    def send(self, station: Station, calls: Calls, runs: list[AttemptId]) -> None:
+    def send(self, tracked: TrackedMachine, calls: Calls, runs: list[AttemptId]) -> None:
         """Queues commands, which are sent if the authority for them still holds at that time."""
-        self.orders.send(Order(station, self.authority(station), calls, runs, self._clock.now()))
+        self.orders.send(Order(tracked, self.authority(tracked), calls, runs, self._clock.now()))
 
-    def probe(self, station: Station) -> None:
+    def probe(self, tracked: TrackedMachine) -> None:
         """Asks a machine for a report, such as when check-ins are missing, which may be lost."""
-        if station.addr and not station.busy:
-            self.send(station, [], [])
+        if tracked.addr and not tracked.order_in_flight:
+            self.send(tracked, [], [])
 
     def log(
         self,
-        station: Station,
+        tracked: TrackedMachine,
         authority: CommandAuthority,
         calls: Calls,
         why: str,
@@ -90,10 +90,10 @@
                 why,
                 call["lift"],
                 call["pull"],
-                station.id,
+                tracked.id,
                 authority.token,
                 authority.session,
-                station.seq,
+                tracked.seq,
                 waited_s,
                 allowed,
             )
@@ -101,10 +101,10 @@
 
     # --- callbacks of queued and sent orders (OrderHandler) ---------------------------------
     def withdrawal_reason(self, order: Order) -> WithdrawalReason | None:
-        machine = order.station.id
+        machine = order.machine.id
         may_start = all(self._may_start(machine, start) for start in order.runs)
         return withdrawal_reason(
-            order, self._stations.get(machine), self.authority(order.station), may_start
+            order, self._machines.get(machine), self.authority(order.machine), may_start
         )
 
     def _may_start(self, machine: str, start: AttemptId) -> bool:
@@ -114,17 +114,17 @@
 
     def on_send(self, order: Order, waited_s: float) -> None:
         self._metrics.order_wait.observe(waited_s)
-        self.log(order.station, order.authority, order.calls, "order", waited_s)
+        self.log(order.machine, order.authority, order.calls, "order", waited_s)
 
     def on_result(self, order: Order, result: OrderResult) -> None:
         self._metrics.orders_finished.labels(result.outcome.value).inc()
-        machine = order.station.id
+        machine = order.machine.id
         if result.outcome is not Outcome.NOT_UNDERSTOOD:
             if result.reason:
                 log.debug("order to %s: %s", machine, result.reason)
             return
-        count = order.station.wrong_answers[result.reason] + 1
-        order.station.wrong_answers[result.reason] = count
+        count = order.machine.wrong_answers[result.reason] + 1
+        order.machine.wrong_answers[result.reason] = count
         # Such a machine is probed again and again: log at 1, 10, 100 answers and so on.
         if str(count).strip("0") == "1":
             log.error(
@@ -136,5 +136,5 @@
 
     def on_withdrawn(self, order: Order, why: WithdrawalReason, waited_s: float) -> None:
         self._metrics.orders_withdrawn.labels(why.value).inc()
-        self.log(order.station, order.authority, order.calls, why.value, waited_s, allowed=False)
-        self._replan(order.station.id)
+        self.log(order.machine, order.authority, order.calls, why.value, waited_s, allowed=False)
+        self._replan(order.machine.id)
--- a/pulleydeal/workers/commands.py
+++ b/pulleydeal/workers/commands.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import Any
 
-from pulleydeal.workers.station import AttemptId, Station
+from pulleydeal.workers.tracked_machine import AttemptId, TrackedMachine
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,11 +26,11 @@
 class Order:
     """Commands that are sent directly to a machine. Without commands it is a probe.
 
-    `station`: the state of the machine that the plan was made from. It identifies the ownership
-    period: a node that gives up a machine and owns it again has a new one.
+    `machine`: the state that the plan was made from. It identifies the ownership period: a node
+    that gives up a machine and owns it again has a new one.
     """
 
-    station: Station
+    machine: TrackedMachine
     authority: CommandAuthority
     calls: list[dict[str, Any]]
     runs: list[AttemptId]
@@ -49,14 +49,14 @@
 
 
 def withdrawal_reason(
-    order: Order, station: Station | None, authority: CommandAuthority, may_start: bool
+    order: Order, tracked: TrackedMachine | None, authority: CommandAuthority, may_start: bool
 ) -> WithdrawalReason | None:
     """Why an order must not be sent any more; None: it may be sent.
 
-    `station`, `authority`: the current ones of the machine. `may_start`: whether every task that
+    `tracked`, `authority`: the current ones of the machine. `may_start`: whether every task that
     the order starts is still bound to the machine and no exit of it is being written.
     """
-    if station is not order.station:
+    if tracked is not order.machine:
         return WithdrawalReason.TENURE
     if authority.epoch != order.authority.epoch:
         return WithdrawalReason.EPOCH
--- a/pulleydeal/workers/wanted.py
+++ b/pulleydeal/workers/desired.py
@@ -4,7 +4,7 @@
 
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.station import DesiredTask, TaskId
+from pulleydeal.workers.tracked_machine import DesiredTask, TaskId
 
 
 def desired_tasks(
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -16,15 +16,15 @@
 from pulleydeal.store.reasons import RETURNED
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_stop
-from pulleydeal.workers.commanding import Commander
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.commander import Commander
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from pulleydeal.workers.reachability import (
     one_way_too_long,
-    out_of_sight,
     silent_s,
     silent_too_long,
+    unreachable_zones,
 )
-from pulleydeal.workers.station import FailureCause, Station, is_sick
+from pulleydeal.workers.tracked_machine import FailureCause, TrackedMachine, is_sick
 
 log = logging.getLogger("pulleydeal.workers")
 IDLE = "idle"  # drain reason of a machine that no work needs
@@ -39,9 +39,9 @@
         store: Store,
         times: WorkerTimes,
         clock: Clock,
-        stations: dict[str, Station],
-        commanding: Commander,
-        keeping: Keeping,
+        machines: dict[str, TrackedMachine],
+        commander: Commander,
+        partition_policy: PartitionPolicy,
         objective_classes: set[str],
     ) -> None:
         self._objective_classes = objective_classes  # job classes with a time objective
@@ -50,59 +50,59 @@
         self._replica = store.replica
         self._times = times
         self._clock = clock
-        self._stations = stations
-        self._commanding = commanding
-        self._keeping = keeping
+        self._machines = machines
+        self._commander = commander
+        self._partition_policy = partition_policy
         self._silent_zone_at: dict[str, float] = {}  # zone -> when it was last silent
 
-    def unseen_zones(self) -> set[str]:
+    def unreachable_zones(self) -> set[str]:
         """Zones that are currently unreachable, as seen by this node and its peers."""
-        stations, others = list(self._stations.values()), self._keeping.others_see()
-        return out_of_sight(stations, self._clock.now(), self._times.report_s, others)
+        machines, others = list(self._machines.values()), self._partition_policy.peer_observations()
+        return unreachable_zones(machines, self._clock.now(), self._times.report_s, others)
 
-    async def tend(self) -> None:
+    async def run_round(self) -> None:
         """One round: probes silent machines, marks those to drain, and stops tasks in time."""
         await asyncio.sleep(0.5)
         if not self._membership.is_member:
             return
         now = self._clock.now()
-        self._commanding.orders.drop_stale()
+        self._commander.orders.drop_stale()
         report_s = self._times.report_s
-        stations = list(self._stations.values())
+        machines = list(self._machines.values())
         silent = {
             s.id
             for s in silent_too_long(
-                stations,
+                machines,
                 now,
                 report_s,
                 self._times.lease_s,
                 self._silent_zone_at,
-                self._keeping.others_see(),
-                self._keeping.watched_over(),
+                self._partition_policy.peer_observations(),
+                self._partition_policy.fleet_leader_decides(),
             )
         }
-        one_way = set(one_way_too_long(stations, now, report_s, self._times.lease_s))
-        for station in stations:
-            if self._stations.get(station.id) is not station:
+        one_way = set(one_way_too_long(machines, now, report_s, self._times.lease_s))
+        for tracked in machines:
+            if self._machines.get(tracked.id) is not tracked:
                 continue  # given up while the record of another machine was written
-            quiet = silent_s(station, now) > c.PROBE_REPORTS * report_s
-            if quiet or station.unanswered_since is not None or station.last_answer_invalid:
-                self._commanding.probe(station)
-            record = self._replica.machines.get(station.id)
+            quiet = silent_s(tracked, now) > c.PROBE_REPORTS * report_s
+            if quiet or tracked.unanswered_since is not None or tracked.last_answer_invalid:
+                self._commander.probe(tracked)
+            record = self._replica.machines.get(tracked.id)
             if record is not None and record.record.why == IDLE:
-                self._stop_idle_work(station)
+                self._stop_idle_work(tracked)
             if record is None or record.record.state != "up":
                 continue
             # Checked again: a report may have arrived while another record was written.
-            if station.id in silent and silent_s(station, now) > c.PROBE_REPORTS * report_s:
-                await self.mark_for_drain(station.id, "silent")
-            elif station.id in one_way and (station.unanswered_since or station.no_checkin_since):
-                log.info("machine %s is reachable in one direction only", station.id)
-                await self.mark_for_drain(station.id, "silent")
-            elif is_sick(station, now, self._failure_cause):
-                await self.mark_for_drain(station.id, "sick")
-            elif station.notice_at is not None:
-                self._drain_for_notice(station, now)
+            if tracked.id in silent and silent_s(tracked, now) > c.PROBE_REPORTS * report_s:
+                await self.mark_for_drain(tracked.id, "silent")
+            elif tracked.id in one_way and (tracked.unanswered_since or tracked.no_checkin_since):
+                log.info("machine %s is reachable in one direction only", tracked.id)
+                await self.mark_for_drain(tracked.id, "silent")
+            elif is_sick(tracked, now, self._failure_cause):
+                await self.mark_for_drain(tracked.id, "sick")
+            elif tracked.notice_at is not None:
+                self._drain_for_notice(tracked, now)
 
     def _failure_cause(self, job_id: str, here: int) -> FailureCause:
         """Whether a job's `here` failures on one machine are due to the job or to the machine.
@@ -126,23 +126,23 @@
         if await self._store.commit(conditions, {key: record}):
             log.info("machine %s marked for drain: %s", machine, why, extra={"machine": machine})
 
-    def _drain_for_notice(self, station: Station, now: float) -> None:
+    def _drain_for_notice(self, tracked: TrackedMachine, now: float) -> None:
         """Stops tasks as late as possible before the cloud reclaims the spot machine."""
-        assert station.notice_at is not None
-        for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
+        assert tracked.notice_at is not None
+        for (job_id, index), task in self._replica.bound.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if spec is None or task.stop:
                 continue
             if spec.checkpoint_s > 0:
-                last = station.notice_at - spec.save_s - c.STOP_SLACK_S
+                last = tracked.notice_at - spec.save_s - c.STOP_SLACK_S
             else:
-                last = station.notice_at - c.STOP_SLACK_S / 2
+                last = tracked.notice_at - c.STOP_SLACK_S / 2
             if now >= last:
                 self.stop(job_id, index, task.attempt, "the cloud takes its spot machine back")
 
-    def _stop_idle_work(self, station: Station) -> None:
+    def _stop_idle_work(self, tracked: TrackedMachine) -> None:
         """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
-        for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
+        for (job_id, index), task in self._replica.bound.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if (
                 spec is not None
--- a/pulleydeal/workers/ends.py
+++ b/pulleydeal/workers/exits.py
@@ -14,7 +14,7 @@
 from pulleydeal.store.service import Store
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.changes import apply_exit
-from pulleydeal.workers.station import AttemptId, Exit, Station
+from pulleydeal.workers.tracked_machine import AttemptId, Exit, TrackedMachine
 
 
 class ExitRecorder:
@@ -30,7 +30,7 @@
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
-        stations: dict[str, Station],
+        machines: dict[str, TrackedMachine],
         on_written: Callable[[str], None],
     ) -> None:
         self._membership = membership
@@ -38,18 +38,18 @@
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
-        self._stations = stations
+        self._machines = machines
         self._on_written = on_written
         self.pending: set[AttemptId] = set()  # exits being written: none of these may be started
 
-    def record(self, station: Station, task_exit: Exit) -> None:
+    def record(self, tracked: TrackedMachine, task_exit: Exit) -> None:
         """Logs an exit and queues its write, unless that is already pending."""
         attempt_id = (task_exit.job, task_exit.index, task_exit.attempt)
         if attempt_id in self.pending:
             return
         self.pending.add(attempt_id)
         if task_exit.outcome == "error":
-            station.errors.append((self._clock.now(), attempt_id))
+            tracked.errors.append((self._clock.now(), attempt_id))
         self._decisions.write(
             Decision(
                 Action.END,
@@ -57,21 +57,21 @@
                 m.task_name(task_exit.job, task_exit.index),
                 task_exit.attempt,
                 task_exit.machine,
-                session=station.session,
-                seq=station.seq,
+                session=tracked.session,
+                seq=tracked.seq,
             )
         )
         self._metrics.stops.labels(task_exit.outcome).inc()
         future = self._store.change_job(
-            task_exit.job, partial(self._apply_if_proved, station, task_exit), turn=Turn.WORK
+            task_exit.job, partial(self._apply_if_proved, tracked, task_exit), turn=Turn.WORK
         )
-        future.add_done_callback(partial(self._finish, station.id, attempt_id))
+        future.add_done_callback(partial(self._finish, tracked.id, attempt_id))
 
     def _finish(self, machine: str, attempt_id: AttemptId, _: "asyncio.Future[bool]") -> None:
         self.pending.discard(attempt_id)
         self._on_written(machine)
 
-    def _apply_if_proved(self, station: Station, task_exit: Exit, draft: Draft) -> None:
+    def _apply_if_proved(self, tracked: TrackedMachine, task_exit: Exit, draft: Draft) -> None:
         """Applies the exit to the newest record, if its proof still holds.
 
         The commit is conditional on that record and the view. Absence of a task proves nothing once
@@ -79,6 +79,6 @@
         and removed from the view concluded exits from silence, wrote them on its return, and tasks
         ran twice.
         """
-        still_owner = self._membership.is_member and self._stations.get(station.id) is station
+        still_owner = self._membership.is_member and self._machines.get(tracked.id) is tracked
         if still_owner or not task_exit.by_absence:
             apply_exit(draft, task_exit)
--- a/pulleydeal/workers/incarnation.py
+++ b/pulleydeal/workers/incarnation.py
@@ -11,7 +11,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,20 +23,20 @@
     token: int
 
 
-def known_state(s: Station) -> KnownState | None:
-    return None if s.heard_at is None else KnownState(s.session, s.seq, s.seen_token)
+def known_state(s: TrackedMachine) -> KnownState | None:
+    return None if s.last_report_at is None else KnownState(s.session, s.seq, s.seen_token)
 
 
-def is_ambiguous(s: Station, report: m.Report, now: float) -> bool:
+def is_ambiguous(s: TrackedMachine, report: m.Report, now: float) -> bool:
     """Whether a check-in may be a delayed copy or the first one after a restart.
 
     The machine is then probed; the check-in is neither applied nor answered with commands. An older
     check-in that the answer to an order has just overtaken is normal.
     """
-    if s.heard_at is None:
+    if s.last_report_at is None:
         return False
     older = (report.session, report.seq) <= (s.session, s.seq)
-    return report.token < s.seen_token or (older and now - s.heard_at > c.OVERTAKEN_S)
+    return report.token < s.seen_token or (older and now - s.last_report_at > c.OVERTAKEN_S)
 
 
 def has_restarted(before: KnownState | None, report: m.Report) -> bool:
@@ -52,13 +52,13 @@
 
 
 def state_after_restart(
-    s: Station, inherited: set[tuple[str, int, int]], token: int, now: float
-) -> Station:
+    s: TrackedMachine, inherited: set[tuple[str, int, int]], token: int, now: float
+) -> TrackedMachine:
     """The state of a machine after a restart, as after a takeover.
 
     No report is trusted before the machine holds a token above all that it was given before the
     restart; from then on no order that was sent before can be executed.
     """
-    new = Station(s.id, s.type, s.zone, s.spot, now, token, inherited)
+    new = TrackedMachine(s.id, s.type, s.zone, s.spot, now, token, inherited)
     new.addr, new.fence, new.errors = s.addr, s.fence + 1, s.errors
     return new
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -11,7 +11,7 @@
 from pulleydeal.workers.commands import Order, WithdrawalReason
 from pulleydeal.workers.incarnation import KnownState, known_state
 from pulleydeal.workers.outcomes import OrderResult, Outcome, read_answer
-from pulleydeal.workers.station import Station, forget_kills
+from pulleydeal.workers.tracked_machine import TrackedMachine, forget_kills
 
 
 class _OrderWithdrawn(Exception):
@@ -25,7 +25,7 @@
 class OrderHandler(Protocol):
     """What `Orders` needs of the code that plans the orders."""
 
-    def token(self, station: Station) -> int:
+    def token(self, tracked: TrackedMachine) -> int:
         """The token for commands to the machine at this moment."""
 
     def withdrawal_reason(self, order: Order) -> WithdrawalReason | None:
@@ -40,7 +40,9 @@
     def on_result(self, order: Order, result: OrderResult) -> None:
         """Called with the result of sending, before anything is concluded from it."""
 
-    def on_report(self, station: Station, report: m.Report, before: KnownState | None) -> None:
+    def on_report(
+        self, tracked: TrackedMachine, report: m.Report, before: KnownState | None
+    ) -> None:
         """Called with the report in an answer; `before`: the state known when it was asked for."""
 
     def on_reachability_change(self, machine: str) -> None:
@@ -75,7 +77,7 @@
         return client
 
     def send(self, order: Order) -> None:
-        order.station.busy = True
+        order.machine.order_in_flight = True
         self._background.spawn(self._process(order))
 
     async def _process(self, order: Order) -> None:
@@ -86,11 +88,11 @@
             return
         finally:
             # Reset before the answer is processed, which may send the machine its next order.
-            order.station.busy = False
+            order.machine.order_in_flight = False
         self._handler.on_result(order, result)
         self._apply_result(order, result)
         if result.report is not None:
-            self._handler.on_report(order.station, result.report, before)
+            self._handler.on_report(order.machine, result.report, before)
 
     async def _wait_and_send(self, order: Order) -> tuple[OrderResult, KnownState | None]:
         """Waits for a slot and sends the order; returns its result and the state known before.
@@ -118,11 +120,11 @@
         return self._clock.now() - order.planned_at
 
     async def _exchange(self, order: Order) -> tuple[OrderResult, KnownState | None]:
-        station = order.station
+        tracked = order.machine
         timeout_s = c.ORDERS_TIMEOUT_S if order.calls else c.PROBE_TIMEOUT_S
         body = m.orders(order.authority.token, order.authority.session, order.calls)
         # Taken before sending: a machine that answers with an older state has restarted.
-        before = known_state(station)
+        before = known_state(tracked)
         reasons: list[WithdrawalReason] = []
 
         def may_send() -> bool:
@@ -135,7 +137,7 @@
             self._handler.on_send(order, self._waited_s(order))
             return True
 
-        client = self._client(station.addr)
+        client = self._client(tracked.addr)
         try:
             status, reply = await client.request("POST", "/orders", body, timeout_s, may_send)
         except Withdrawn:
@@ -147,36 +149,36 @@
 
     def _withdraw(self, order: Order, why: WithdrawalReason) -> None:
         for start in order.runs:
-            order.station.sent.pop(start, None)
-        forget_kills(order.station, order.calls)
+            order.machine.sent.pop(start, None)
+        forget_kills(order.machine, order.calls)
         self._handler.on_withdrawn(order, why, self._waited_s(order))
 
     def _apply_result(self, order: Order, result: OrderResult) -> None:
         """Updates the state of the machine, and of the starts in the order, from the result."""
-        self._update_reachability(order.station, result)
+        self._update_reachability(order.machine, result)
         if result.is_other_machine:
             # Orders do not name their machine: any machine at the address would execute them. The
             # machine's next check-in gives its new address.
-            self.drop(order.station.addr)
-            order.station.addr = ""
+            self.drop(order.machine.addr)
+            order.machine.addr = ""
         match result.outcome:
             case Outcome.EXECUTED:
                 for start in order.runs:
-                    order.station.sent[start].direct = False
-                    order.station.sent[start].settled = True
+                    order.machine.sent[start].direct = False
+                    order.machine.sent[start].settled = True
             case Outcome.REFUSED | Outcome.NOT_SENT:
                 self._handle_unconfirmed(order, maybe_executed=False)
             case Outcome.UNANSWERED | Outcome.NOT_UNDERSTOOD:
                 self._handle_unconfirmed(order, maybe_executed=True)
 
-    def _update_reachability(self, station: Station, result: OrderResult) -> None:
-        station.last_answer_invalid = result.outcome is Outcome.NOT_UNDERSTOOD
+    def _update_reachability(self, tracked: TrackedMachine, result: OrderResult) -> None:
+        tracked.last_answer_invalid = result.outcome is Outcome.NOT_UNDERSTOOD
         if not result.is_answered:
-            station.no_checkin_since = None
-        if result.is_answered == (station.unanswered_since is None):
+            tracked.no_checkin_since = None
+        if result.is_answered == (tracked.unanswered_since is None):
             return
-        station.unanswered_since = None if result.is_answered else self._clock.now()
-        self._handler.on_reachability_change(station.id)
+        tracked.unanswered_since = None if result.is_answered else self._clock.now()
+        self._handler.on_reachability_change(tracked.id)
 
     def _handle_unconfirmed(self, order: Order, maybe_executed: bool) -> None:
         """Handles the starts of an order that was not confirmed.
@@ -184,13 +186,13 @@
         `maybe_executed`: whether they may have been executed, or may be much later. Then nothing is
         concluded about them until a report shows a token with which the order would be refused.
         """
-        station = order.station
+        tracked = order.machine
         if not maybe_executed:
             for start in order.runs:
-                station.sent.pop(start, None)
+                tracked.sent.pop(start, None)
             return
         if order.runs:
-            station.raise_fence()
+            tracked.raise_fence()
         for start in order.runs:
-            station.sent[start].fence = self._handler.token(station)
-            station.sent[start].direct = False
+            tracked.sent[start].fence = self._handler.token(tracked)
+            tracked.sent[start].direct = False
--- a/pulleydeal/workers/outcomes.py
+++ b/pulleydeal/workers/outcomes.py
@@ -54,7 +54,7 @@
         report = m.REPORT.decode(body)
     except MALFORMED:
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=f"status {status} without a report")
-    if report.machine != order.station.id:
+    if report.machine != order.machine.id:
         reason = "another machine's report"
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=reason, is_other_machine=True)
     authority = order.authority
--- a/pulleydeal/workers/keeping.py
+++ b/pulleydeal/workers/partition_policy.py
@@ -6,55 +6,55 @@
 
 from pulleydeal.store.job import Job
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.reachability import Seen
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.reachability import SilenceCounts
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 # Reasons for returning machines of unreachable zones, with all that is on them.
-UNTOLD = "kept a cancelled job"
-DARK = "its zone is dark"
-EVACUATED = "its zone is cut off for long"
-OUT_OF_SIGHT = (UNTOLD, DARK, EVACUATED)
+KEPT_CANCELLED_JOB = "kept a cancelled job"
+ZONE_DARK = "its zone is dark"
+ZONE_EVACUATED = "its zone is cut off for long"
+UNREACHABLE_REASONS = (KEPT_CANCELLED_JOB, ZONE_DARK, ZONE_EVACUATED)
 
 
-class Keeping:
+class PartitionPolicy:
     """The default policy; see the module."""
 
-    def keeps(self, report: m.Report) -> bool:
+    def renews_for_owner(self, report: m.Report) -> bool:
         """Whether to renew the lease of a machine that another node owns, without commands."""
         return False
 
-    def bears_blindness(self, zone: str) -> bool:
+    def may_renew_while_stale(self, zone: str) -> bool:
         """Whether this node may renew its machines' leases in the zone with a stale state copy."""
         return False
 
-    def alone(self, station: Station) -> bool:
+    def no_peer_renewed(self, tracked: TrackedMachine) -> bool:
         """Whether no other node can have renewed the lease, so that its expiry is a proof."""
         return True
 
-    def others_see(self) -> list[Seen]:
+    def peer_observations(self) -> list[SilenceCounts]:
         """Recent counts of silent machines per zone, one item for each other owner."""
         return []
 
-    def watched_over(self) -> bool:
+    def fleet_leader_decides(self) -> bool:
         """Whether the fleet leader decides what happens to machines of unreachable zones."""
         return False
 
-    def holds_back(self) -> bool:
+    def defers_cancellations(self) -> bool:
         """Whether cancellations are stored first and confirmed only when they are sure to hold."""
         return False
 
-    def may_tell(self, job: Job) -> bool:
+    def may_confirm_cancel(self, job: Job) -> bool:
         """Whether a stored cancellation is sure to hold, whichever node renews leases."""
         return False
 
-    async def comes_to_be_told(self, job: Job) -> bool:
-        """Like `may_tell`, after giving the other nodes a moment to answer."""
+    async def wait_until_confirmable(self, job: Job) -> bool:
+        """Like `may_confirm_cancel`, after giving the other nodes a moment to answer."""
         return False
 
-    def owed(self) -> dict[str, str]:
+    def machines_to_return(self) -> dict[str, str]:
         """Unreachable machines that are to be returned, each with the reason."""
         return {}
 
-    def distrusted(self) -> set[str]:
-        """Zones that became reachable so recently that nothing is rented there yet."""
+    def excluded_zones(self) -> set[str]:
+        """Zones that are unreachable or only recently back, where nothing is rented yet."""
         return set()
--- a/pulleydeal/workers/reachability.py
+++ b/pulleydeal/workers/reachability.py
@@ -3,45 +3,51 @@
 from collections.abc import Sequence
 
 from pulleydeal import constants as c
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 
-def silent_s(s: Station, now: float) -> float:
+def silent_s(s: TrackedMachine, now: float) -> float:
     """Seconds since the last report of any kind, or since the takeover if that is later."""
-    return now - max(s.since, s.heard_at if s.heard_at is not None else s.since)
+    return now - max(s.since, s.last_report_at if s.last_report_at is not None else s.since)
 
 
-def without_checkin_s(s: Station, now: float) -> float:
+def without_checkin_s(s: TrackedMachine, now: float) -> float:
     """Seconds since the last check-in, or since the takeover if that is later.
 
     Answers to orders do not count, as only the answer to a check-in renews the lease. A machine
     that could reach no node still answered orders and gave credit, so tasks were started there and
     lost with each lease.
     """
-    return now - max(s.since, s.checkin_at if s.checkin_at is not None else s.since)
+    return now - max(s.since, s.last_checkin_at if s.last_checkin_at is not None else s.since)
 
 
-Seen = dict[str, tuple[int, int]]  # zone -> an owner's silent machines there, and known ones
+SilenceCounts = dict[str, tuple[int, int]]  # zone -> silent and known machines
 
 
-def seen(stations: list[Station], now: float, report_s: float) -> Seen:
+def count_silent(machines: list[TrackedMachine], now: float, report_s: float) -> SilenceCounts:
     """Counts the silent and the known machines of each zone.
 
     Silent here means long enough to be probed, well before a machine is returned. A machine that
     was taken over a moment ago and has not reported yet is not counted.
     """
     quiet_since = now - c.PROBE_REPORTS * report_s
-    found: Seen = {}
-    for s in stations:
-        silent = max(s.since, s.heard_at if s.heard_at is not None else s.since) < quiet_since
-        if silent or s.heard_at is not None:
+    found: SilenceCounts = {}
+    for s in machines:
+        silent = (
+            max(s.since, s.last_report_at if s.last_report_at is not None else s.since)
+            < quiet_since
+        )
+        if silent or s.last_report_at is not None:
             quiet, known = found.get(s.zone, (0, 0))
             found[s.zone] = (quiet + silent, known + 1)
     return found
 
 
 def silent_zones(
-    stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
+    machines: list[TrackedMachine],
+    now: float,
+    report_s: float,
+    others: Sequence[SilenceCounts] = (),
 ) -> set[str]:
     """Zones taken for cut off, as more machines are silent at once than fail independently.
 
@@ -50,7 +56,7 @@
     a network partition were returned. `others`: the counts of other owners; an owner of two
     machines in a zone cannot tell a partition from two dead machines.
     """
-    mine = seen(stations, now, report_s)
+    mine = count_silent(machines, now, report_s)
     found = set()
     for zone in set(mine).union(*others):
         pairs = [counted.get(zone, (0, 0)) for counted in (mine, *others)]
@@ -60,53 +66,56 @@
     return found
 
 
-def out_of_sight(
-    stations: list[Station], now: float, report_s: float, others: Sequence[Seen] = ()
+def unreachable_zones(
+    machines: list[TrackedMachine],
+    now: float,
+    report_s: float,
+    others: Sequence[SilenceCounts] = (),
 ) -> set[str]:
     """Like `silent_zones`, but empty if it is all zones: then this node itself is cut off.
 
     A node that owns no machines uses the zones that other owners know.
     """
-    zones = silent_zones(stations, now, report_s, others)
-    known = {s.zone for s in stations} or set[str]().union(*others)
+    zones = silent_zones(machines, now, report_s, others)
+    known = {s.zone for s in machines} or set[str]().union(*others)
     return zones if known - zones else set()
 
 
 def silent_too_long(
-    stations: list[Station],
+    machines: list[TrackedMachine],
     now: float,
     report_s: float,
     lease_s: float,
     silent_zone_at: dict[str, float],
-    others: Sequence[Seen] = (),
-    watched_over: bool = False,
-) -> list[Station]:
+    others: Sequence[SilenceCounts] = (),
+    fleet_leader_decides: bool = False,
+) -> list[TrackedMachine]:
     """Machines to be returned for their silence.
 
     `silent_zone_at`: zone -> when it was last silent (see `silent_zones`); updated here. From then
     on each of its machines gets the full time again, as they report one after the other.
-    `watched_over`: the fleet leader, which knows what every owner sees, decides about machines of
-    silent zones, so none of them is included here.
+    `fleet_leader_decides`: the fleet leader, which knows what every owner sees, decides about
+    machines of silent zones, so none of them is included here.
     """
-    zones = silent_zones(stations, now, report_s, others)
+    zones = silent_zones(machines, now, report_s, others)
     long_s = c.SILENT_RETURN_REPORTS * report_s
     quiet_s = c.PROBE_REPORTS * report_s
-    if all(s.zone in zones for s in stations):
+    if all(s.zone in zones for s in machines):
         # All machines are in silent zones, so this node itself is cut off. Keeping the machines for
         # long left them unused, and fewer services were up (0.76 instead of 0.87 in a run with such
         # a partition). The share below counts only machines silent for `long_s` here: work on those
         # returned before the share is reached starts elsewhere sooner.
         zones, quiet_s = set(), long_s
     silent_zone_at |= dict.fromkeys(zones, now)
-    quiet = sum(silent_s(s, now) > quiet_s for s in stations)
+    quiet = sum(silent_s(s, now) > quiet_s for s in machines)
     # Many silent machines suggest a fault of this node: then the limit is the lease time.
-    suspect = quiet > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
+    suspect = quiet > max(c.SILENT_FEW, len(machines) * c.SILENT_SHARE)
     usual = lease_s if suspect else long_s
     found = []
-    for s in stations:
+    for s in machines:
         silence = silent_s(s, now)
         if s.zone in zones:
-            late = silence > c.UNSEEN_KEEP_S and not watched_over
+            late = silence > c.UNSEEN_KEEP_S and not fleet_leader_decides
         else:
             late = min(silence, now - silent_zone_at.get(s.zone, -1e9)) > usual
         if late:
@@ -115,7 +124,7 @@
 
 
 def one_way_too_long(
-    stations: list[Station], now: float, report_s: float, lease_s: float
+    machines: list[TrackedMachine], now: float, report_s: float, lease_s: float
 ) -> list[str]:
     """Machines to be returned as they are reachable in one direction only.
 
@@ -131,16 +140,18 @@
     quiet_s = c.PROBE_REPORTS * report_s
     deaf = [
         s
-        for s in stations
-        if s.unanswered_since is not None and s.heard_at is not None and silent_s(s, now) <= quiet_s
+        for s in machines
+        if s.unanswered_since is not None
+        and s.last_report_at is not None
+        and silent_s(s, now) <= quiet_s
     ]
     mute = [
         s
-        for s in stations
+        for s in machines
         if s.no_checkin_since is not None
         and without_checkin_s(s, now) > c.SILENT_REPORTS * report_s
     ]
-    many_deaf = len(deaf) > max(c.SILENT_FEW, len(stations) * c.SILENT_SHARE)
+    many_deaf = len(deaf) > max(c.SILENT_FEW, len(machines) * c.SILENT_SHARE)
     many_mute = len(mute) > c.SILENT_FEW
     limit_s = lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S + report_s
     since = [(s.id, s.unanswered_since or now, many_deaf or s.trusted) for s in deaf]
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -22,24 +22,24 @@
 from pulleydeal.store.service import Store
 from pulleydeal.workers import incarnation, task_log
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.adopting import MachineRegistrar
-from pulleydeal.workers.commanding import Commander
-from pulleydeal.workers.ends import ExitRecorder
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.commander import Commander
+from pulleydeal.workers.desired import desired_tasks
+from pulleydeal.workers.exits import ExitRecorder
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from pulleydeal.workers.reachability import silent_s, without_checkin_s
-from pulleydeal.workers.station import (
+from pulleydeal.workers.registration import MachineRegistrar
+from pulleydeal.workers.tracked_machine import (
     AttemptId,
     Plan,
     SentStart,
-    Station,
     TaskId,
     TaskStatus,
-    absorb,
+    TrackedMachine,
+    apply_report,
     forget_kills,
     is_reconciled,
     reconcile,
 )
-from pulleydeal.workers.wanted import desired_tasks
 
 log = logging.getLogger("pulleydeal.workers")
 
@@ -48,8 +48,8 @@
     """Default for `Workers.changed`, until a listener is set."""
 
 
-def _exited_tasks(entries: dict[TaskId, TaskStatus]) -> set[TaskId]:
-    return {task_id for task_id, entry in entries.items() if entry.state == "exited"}
+def _exited_tasks(tasks: dict[TaskId, TaskStatus]) -> set[TaskId]:
+    return {task_id for task_id, entry in tasks.items() if entry.state == "exited"}
 
 
 class Workers:
@@ -62,8 +62,8 @@
         times: WorkerTimes,
         clock: Clock,
         metrics: Metrics,
-        stations: dict[str, Station],
-        keeping: Keeping,
+        machines: dict[str, TrackedMachine],
+        partition_policy: PartitionPolicy,
     ) -> None:
         self._membership = membership
         self._store = store
@@ -73,23 +73,23 @@
         self._metrics = metrics
         self._lock = threading.Lock()
         self._epoch = 0  # epoch of the view that ownership was last updated to
-        self.stations = stations
-        self._keeping = keeping
+        self.machines = machines
+        self._partition_policy = partition_policy
         self._decisions = DecisionLog(membership, store, clock, metrics)
         self.exits = ExitRecorder(
-            membership, store, clock, metrics, self._decisions, stations, self._replan
+            membership, store, clock, metrics, self._decisions, machines, self._replan
         )
-        self.commanding = Commander(
+        self.commander = Commander(
             membership,
             store.replica,
             clock,
             metrics,
             self._decisions,
-            stations,
+            machines,
             self.exits,
             self._on_order_report,
             self._replan,
-            lambda machine: self.changed(machine),
+            lambda machine: self.on_credit_change(machine),
         )
         self._registrar = MachineRegistrar(store, clock)
         self._background = Background("registering a machine failed")
@@ -104,7 +104,7 @@
         self._machines_by_job: dict[str, set[str]] = {}
         self._full_round_at = -1e9  # steady time of the last round over all owned machines
         # Called with the id of a machine whose credit may have changed.
-        self.changed: Callable[[str], None] = _ignore
+        self.on_credit_change: Callable[[str], None] = _ignore
         store.replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
@@ -129,9 +129,9 @@
     def _mark_changed(self, machine: str) -> None:
         """Marks a machine for planning, because an input of its plan has changed."""
         self._dirty.add(machine)
-        station = self.stations.get(machine)
-        if station is not None:
-            station.reconciled = False
+        tracked = self.machines.get(machine)
+        if tracked is not None:
+            tracked.reconciled = False
 
     def _update_ownership(self) -> None:
         """Starts and stops tracking machines according to the current view."""
@@ -145,19 +145,19 @@
         with self._lock:
             if skipped_views:
                 # Another node may have owned them in a view that this node never processed.
-                self.stations.clear()
+                self.machines.clear()
                 self._machines_by_job.clear()
-            for machine, station in list(self.stations.items()):
-                if not self._membership.owns(machine, station.zone):
+            for machine, tracked in list(self.machines.items()):
+                if not self._membership.owns(machine, tracked.zone):
                     self._stop_tracking(machine)
             for machine, record in self._replica.machines.items():
                 rec = record.record
-                if rec.state == "gone" or machine in self.stations:
+                if rec.state == "gone" or machine in self.machines:
                     continue
                 if self._membership.owns(machine, rec.zone):
-                    station = self._track(machine, rec.type, rec.zone, rec.spot, token, now)
-                    station.addr = rec.addr
-        for machine in self.stations:
+                    tracked = self._track(machine, rec.type, rec.zone, rec.spot, token, now)
+                    tracked.addr = rec.addr
+        for machine in self.machines:
             self._mark_changed(machine)
 
     def _stop_tracking(self, machine: str) -> None:
@@ -165,20 +165,20 @@
 
         A returned machine would otherwise be probed in vain.
         """
-        station = self.stations.pop(machine, None)
-        if station is not None:
-            self._index_report(machine, station.entries, {})
-            self.commanding.orders.drop(station.addr)
-            self.changed(machine)
+        tracked = self.machines.pop(machine, None)
+        if tracked is not None:
+            self._index_report(machine, tracked.tasks, {})
+            self.commander.orders.drop(tracked.addr)
+            self.on_credit_change(machine)
 
     def _track(
         self, machine: str, type_: str, zone: str, spot: bool, token: int, now: float
-    ) -> Station:
-        station = Station(machine, type_, zone, spot, now, token, self._bound_attempts(machine))
-        self.stations[machine] = station
-        return station
+    ) -> TrackedMachine:
+        tracked = TrackedMachine(machine, type_, zone, spot, now, token, self._bound_on(machine))
+        self.machines[machine] = tracked
+        return tracked
 
-    def _track_first_report(self, report: m.Report, fence: int) -> Station:
+    def _track_first_report(self, report: m.Report, fence: int) -> TrackedMachine:
         """Starts tracking a machine at its first report to this node.
 
         `fence`: 1 if the machine has no record. Its report may have been delayed since before the
@@ -187,23 +187,23 @@
         token, now = views.token(self._membership.epoch, fence), self._clock.now()
         kind = (report.type, report.zone, report.spot)
         with self._lock:
-            station = self._track(report.machine, *kind, token, now)
-        station.fence = fence
-        return station
+            tracked = self._track(report.machine, *kind, token, now)
+        tracked.fence = fence
+        return tracked
 
-    def _bound_attempts(self, machine: str) -> set[AttemptId]:
+    def _bound_on(self, machine: str) -> set[AttemptId]:
         """Attempts that an earlier owner, or this node before a restart, may have started there."""
         bound = self._replica.bound.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
-    def silent(self, station: Station) -> bool:
+    def silent(self, tracked: TrackedMachine) -> bool:
         """Whether check-ins have been missing for `SILENT_REPORTS` report periods."""
         limit = c.SILENT_REPORTS * self._times.report_s
-        return without_checkin_s(station, self._clock.now()) > limit
+        return without_checkin_s(tracked, self._clock.now()) > limit
 
     def oldest_report_s(self) -> float:
         now = self._clock.now()
-        return max((silent_s(station, now) for station in self.stations.values()), default=0.0)
+        return max((silent_s(tracked, now) for tracked in self.machines.values()), default=0.0)
 
     # --- check-ins ------------------------------------------------------------------------
     async def checkin(self, request: Request) -> Response:
@@ -215,7 +215,7 @@
             return answer(503, {"error": "not ready"}, c.RETRY_AFTER_S)
         owner = self._membership.owner(report.machine, report.zone)
         if owner != self._membership.me:
-            if self._keeping.keeps(report):
+            if self._partition_policy.renews_for_owner(report):
                 return answer(200, m.commands(report.token, []))
             return answer(421, m.redirect(owner))
         if not self._may_renew_lease(report.zone):
@@ -223,31 +223,31 @@
         record = self._replica.machines.get(report.machine)
         if record is not None and record.record.state == "gone":
             return answer(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
-        station = self.stations.get(report.machine)
-        if station is None:
-            station = self._track_first_report(report, fence=int(record is None))
-        if report.token > self.commanding.token(station):
+        tracked = self.machines.get(report.machine)
+        if tracked is None:
+            tracked = self._track_first_report(report, fence=int(record is None))
+        if report.token > self.commander.token(tracked):
             # An owner with a newer view commands the machine; this node's view is outdated.
             return answer(421, m.redirect(""))
-        if incarnation.is_ambiguous(station, report, self._clock.now()):
-            self.commanding.probe(station)
-            return self._command_response(station, [])
-        self._take(station, report, checkin=True)
+        if incarnation.is_ambiguous(tracked, report, self._clock.now()):
+            self.commander.probe(tracked)
+            return self._command_response(tracked, [])
+        self._apply_report(tracked, report, checkin=True)
         if record is None or record.record.state == "boot" or (record.record.addr != report.addr):
             self._background.spawn(self._registrar.register(report))
-        plan = self._plan(station)
+        plan = self._plan(tracked)
         for start in plan.runs:
-            station.sent[start] = SentStart(station.session, report.seq)
-        authority = self.commanding.authority(station)
-        self.commanding.log(station, authority, plan.calls, "answer to a check-in")
-        return self._command_response(station, plan.calls)
+            tracked.sent[start] = SentStart(tracked.session, report.seq)
+        authority = self.commander.authority(tracked)
+        self.commander.log(tracked, authority, plan.calls, "answer to a check-in")
+        return self._command_response(tracked, plan.calls)
 
-    def _command_response(self, station: Station, calls: list[dict[str, Any]]) -> Response:
-        body = msgspec.json.encode(m.commands(self.commanding.token(station), calls))
-        return Response(200, body, written=lambda: self._on_answered(station))
+    def _command_response(self, tracked: TrackedMachine, calls: list[dict[str, Any]]) -> Response:
+        body = msgspec.json.encode(m.commands(self.commander.token(tracked), calls))
+        return Response(200, body, written=lambda: self._on_answered(tracked))
 
-    def _on_answered(self, station: Station) -> None:
-        station.answered_at = self._clock.now()
+    def _on_answered(self, tracked: TrackedMachine) -> None:
+        tracked.last_answer_at = self._clock.now()
 
     def _may_renew_lease(self, zone: str) -> bool:
         """Whether this node knows of cancellations recently enough to renew leases in the zone.
@@ -259,34 +259,34 @@
         return (
             vouching.may_renew(self._store.current_at, limit_s, now)
             or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
-            or self._keeping.bears_blindness(zone)
+            or self._partition_policy.may_renew_while_stale(zone)
         )
 
-    def _take(self, station: Station, report: m.Report, checkin: bool) -> None:
+    def _apply_report(self, tracked: TrackedMachine, report: m.Report, checkin: bool) -> None:
         now = self._clock.now()
         with self._lock:
-            before = station.entries
-            status_before = (station.trusted, station.notice_at is None, self.silent(station))
-            fresh = absorb(station, report, now, checkin)
-            if fresh and before is not station.entries:
-                self._index_report(station.id, before, station.entries)
+            before = tracked.tasks
+            status_before = (tracked.trusted, tracked.notice_at is None, self.silent(tracked))
+            fresh = apply_report(tracked, report, now, checkin)
+            if fresh and before is not tracked.tasks:
+                self._index_report(tracked.id, before, tracked.tasks)
         if not fresh:
             return
-        progressed = before is not station.entries and before != station.entries
+        progressed = before is not tracked.tasks and before != tracked.tasks
         if progressed:
-            task_log.log_progress(station, before)
-        if not checkin or (progressed and _exited_tasks(before) != _exited_tasks(station.entries)):
-            self._dirty.add(station.id)
+            task_log.log_progress(tracked, before)
+        if not checkin or (progressed and _exited_tasks(before) != _exited_tasks(tracked.tasks)):
+            self._dirty.add(tracked.id)
             self._wake.set()
         # Most reports contain no change; recomputing the credit for each would use a whole core.
-        status = (station.trusted, station.notice_at is None, self.silent(station))
+        status = (tracked.trusted, tracked.notice_at is None, self.silent(tracked))
         if progressed or status_before != status:
-            self.changed(station.id)
+            self.on_credit_change(tracked.id)
 
     def _index_report(
-        self, machine: str, before: dict[TaskId, TaskStatus], entries: dict[TaskId, TaskStatus]
+        self, machine: str, before: dict[TaskId, TaskStatus], tasks: dict[TaskId, TaskStatus]
     ) -> None:
-        old, new = {job for job, _ in before}, {job for job, _ in entries}
+        old, new = {job for job, _ in before}, {job for job, _ in tasks}
         for job in old - new:
             machines = self._machines_by_job.get(job, set())
             machines.discard(machine)
@@ -296,36 +296,36 @@
             self._machines_by_job.setdefault(job, set()).add(machine)
 
     # --- planning -------------------------------------------------------------------------
-    def _is_reconciled(self, station: Station, now: float) -> bool:
+    def _is_reconciled(self, tracked: TrackedMachine, now: float) -> bool:
         """Whether planning can be skipped, as the plan would be empty.
 
         Cancellations known only from another node's heartbeat mark no machine as changed, so
         nothing is skipped while there are any.
         """
         relayed = self._membership.relayed_cancels()
-        return not relayed and is_reconciled(station, now, self._times.lease_s)
+        return not relayed and is_reconciled(tracked, now, self._times.lease_s)
 
-    def _plan(self, station: Station) -> Plan:
+    def _plan(self, tracked: TrackedMachine) -> Plan:
         now = self._clock.now()
-        if self._is_reconciled(station, now):
+        if self._is_reconciled(tracked, now):
             return Plan()
         with self._lock:
             plan = reconcile(
-                station,
-                desired_tasks(self._replica, station.id, self._membership.relayed_cancels()),
+                tracked,
+                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels()),
                 now,
                 self._times.lease_s,
-                partial(self._keeping.alone, station),
+                partial(self._partition_policy.no_peer_renewed, tracked),
                 self.exits.pending,
             )
-            if station.busy:
+            if tracked.order_in_flight:
                 # Nothing is started or cleared while an order is in flight, which may take
                 # seconds. Kills can be repeated safely and are kept: orders that hung used to hold
                 # them back from machines whose leases went on being renewed.
                 plan.calls = [call for call in plan.calls if call["call"] == "kill"]
                 plan.runs = []
         for task_exit in plan.exits:
-            self.exits.record(station, task_exit)
+            self.exits.record(tracked, task_exit)
         return plan
 
     def _replan(self, machine: str) -> None:
@@ -346,53 +346,53 @@
         if now - self._full_round_at >= c.LOOK_ROUND_S:
             # Leases expire and kills are repeated without any change that marks the machine.
             self._full_round_at = now
-            self._dirty.update(self.stations)
+            self._dirty.update(self.machines)
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
-            station = self.stations.get(machine)
-            if station is not None and not station.busy:
-                self._reconcile_machine(station)
+            tracked = self.machines.get(machine)
+            if tracked is not None and not tracked.order_in_flight:
+                self._reconcile_machine(tracked)
 
-    def _reconcile_machine(self, station: Station) -> None:
+    def _reconcile_machine(self, tracked: TrackedMachine) -> None:
         if not self._membership.is_member:
             return
-        if not station.trusted:
+        if not tracked.trusted:
             # After a takeover, even if an old report arrived: the probe gives the machine the new
             # token and returns a new report.
-            self.commanding.probe(station)
+            self.commander.probe(tracked)
             return
-        if not station.addr or silent_s(station, self._clock.now()) > self._times.lease_s:
-            self._plan(station)
+        if not tracked.addr or silent_s(tracked, self._clock.now()) > self._times.lease_s:
+            self._plan(tracked)
             return
-        plan = self._plan(station)
-        if station.last_answer_invalid:
+        plan = self._plan(tracked)
+        if tracked.last_answer_invalid:
             # The effect of orders on this machine is unknown. Answers to its check-ins carry the
             # commands until it answers a probe correctly.
-            forget_kills(station, plan.calls)
+            forget_kills(tracked, plan.calls)
             return
         urgent = [call for call in plan.calls if call["call"] != "clear"]
         if urgent or any(
-            sent.fence is not None and not sent.settled for sent in station.sent.values()
+            sent.fence is not None and not sent.settled for sent in tracked.sent.values()
         ):
             for start in plan.runs:
-                station.sent[start] = SentStart(station.session, 0, direct=True)
-            self.commanding.send(station, urgent, plan.runs)
+                tracked.sent[start] = SentStart(tracked.session, 0, direct=True)
+            self.commander.send(tracked, urgent, plan.runs)
 
     def _on_order_report(
-        self, station: Station, report: m.Report, before: incarnation.KnownState | None
+        self, tracked: TrackedMachine, report: m.Report, before: incarnation.KnownState | None
     ) -> None:
-        if self.stations.get(station.id) is not station:
+        if self.machines.get(tracked.id) is not tracked:
             return
         if incarnation.has_restarted(before, report):
-            log.info("machine %s restarted without its tasks", station.id)
-            token = views.token(self._membership.epoch, station.fence + 1)
+            log.info("machine %s restarted without its tasks", tracked.id)
+            token = views.token(self._membership.epoch, tracked.fence + 1)
             new = incarnation.state_after_restart(
-                station, self._bound_attempts(station.id), token, self._clock.now()
+                tracked, self._bound_on(tracked.id), token, self._clock.now()
             )
             with self._lock:
-                self.stations[station.id] = new
-                self._index_report(station.id, station.entries, {})
-            station = new
-        self._take(station, report, checkin=False)
-        if not station.trusted:
-            self.commanding.probe(station)  # gives it the new token
+                self.machines[tracked.id] = new
+                self._index_report(tracked.id, tracked.tasks, {})
+            tracked = new
+        self._apply_report(tracked, report, checkin=False)
+        if not tracked.trusted:
+            self.commander.probe(tracked)  # gives it the new token
--- a/pulleydeal/workers/station.py
+++ b/pulleydeal/workers/tracked_machine.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Station:
+class TrackedMachine:
     """What this node knows of a machine, for as long as it owns it without a break."""
 
     id: str
@@ -73,7 +73,7 @@
     zone: str
     spot: bool
     since: float  # steady time from which this node has owned the machine
-    floor: int  # lowest token that proves a report was made after the takeover
+    takeover_token: int  # lowest token that proves a report was made after the takeover
     inherited: set[AttemptId]  # bindings that an earlier owner may have started
     addr: str = ""
     fence: int = 0
@@ -83,16 +83,16 @@
     token_at: float = 0.0  # steady time at which a token of the current epoch was first reported
     session_at: float = -1e9  # steady time at which the current session was first reported
     notice_at: float | None = None  # steady time at which the cloud reclaims the spot machine
-    heard_at: float | None = None  # steady time of the last report of any kind
-    checkin_at: float | None = None  # steady time of the last check-in that was not outdated
+    last_report_at: float | None = None  # steady time of the last report of any kind
+    last_checkin_at: float | None = None  # steady time of the last check-in that was not outdated
     no_checkin_since: float | None = None  # since then it has answered orders but not checked in
-    answered_at: float | None = None  # steady time of the last check-in answered with 200
-    entries: dict[TaskId, TaskStatus] = field(default_factory=dict)
+    last_answer_at: float | None = None  # steady time of the last check-in answered with 200
+    tasks: dict[TaskId, TaskStatus] = field(default_factory=dict)
     sent: dict[AttemptId, SentStart] = field(default_factory=dict)
     seen: set[AttemptId] = field(default_factory=set)
     killed_at: dict[tuple[AttemptId, bool], float] = field(default_factory=dict)
     errors: list[tuple[float, AttemptId]] = field(default_factory=list)
-    busy: bool = False  # a direct order is in flight
+    order_in_flight: bool = False  # a direct order is in flight
     unanswered_since: float | None = None  # orders get no answer since then; None: the last one did
     last_answer_invalid: bool = False  # the answer to the last order was not valid
     wrong_answers: Counter[str] = field(default_factory=Counter)  # invalid ones, by reason
@@ -103,13 +103,13 @@
     @property
     def trusted(self) -> bool:
         """Whether its reports show the effect of every command of earlier owners."""
-        return self.heard_at is not None and self.seen_token >= self.floor
+        return self.last_report_at is not None and self.seen_token >= self.takeover_token
 
     def raise_fence(self) -> None:
         self.fence += 1
 
 
-def absorb(s: Station, report: m.Report, now: float, checkin: bool) -> bool:
+def apply_report(s: TrackedMachine, report: m.Report, now: float, checkin: bool) -> bool:
     """Applies a report. False: it is not newer than the last one, so it is ignored."""
     if (report.session, report.seq) <= (s.session, s.seq):
         return False
@@ -117,13 +117,13 @@
     s.session, s.seq = report.session, report.seq
     if new_session:
         s.session_at = now
-    if report.token >> c.EPOCH_SHIFT != s.seen_token >> c.EPOCH_SHIFT or s.heard_at is None:
+    if report.token >> c.EPOCH_SHIFT != s.seen_token >> c.EPOCH_SHIFT or s.last_report_at is None:
         s.token_at = now
     s.seen_token = report.token
     s.addr = report.addr
-    s.heard_at = now
+    s.last_report_at = now
     if checkin:
-        s.checkin_at, s.no_checkin_since = now, None
+        s.last_checkin_at, s.no_checkin_since = now, None
     elif s.no_checkin_since is None:
         s.no_checkin_since = now
     s.notice_at = now + report.notice_s if report.notice_s is not None else None
@@ -139,28 +139,28 @@
             or (not sent.direct and sent.fence is None and checkin and report.seq > sent.after_seq)
         ):
             sent.settled = True
-        entry = s.entries.get(attempt_id[:2])
+        entry = s.tasks.get(attempt_id[:2])
         if entry is not None and entry.attempt == attempt_id[2] and not sent.direct:
             sent.settled = True
     return True
 
 
-def _update_tasks(s: Station, tasks: list[m.ReportedTask]) -> None:
+def _update_tasks(s: TrackedMachine, tasks: list[m.ReportedTask]) -> None:
     """Replaces the task states. Called only if they changed, as most reports repeat the last."""
     s.raw_tasks = tasks
     s.reconciled = False
-    s.entries = {}
+    s.tasks = {}
     for t in tasks:
         try:
             task_id = m.split_task(t.task)
         except ValueError:
             continue
         why = m.WHY.get(t.why or "", t.why or "")
-        s.entries[task_id] = TaskStatus(t.attempt, m.STATES[t.state], why, bool(t.saved))
+        s.tasks[task_id] = TaskStatus(t.attempt, m.STATES[t.state], why, bool(t.saved))
         s.seen.add((*task_id, t.attempt))
 
 
-def lease_over(s: Station, now: float, lease_s: float) -> bool:
+def lease_over(s: TrackedMachine, now: float, lease_s: float) -> bool:
     """Whether the lease must have expired, so that the worker has killed all its tasks.
 
     The machine must hold this owner's token, and this owner must have answered a check-in itself:
@@ -172,10 +172,10 @@
     - the first report of the session: a new session begins with a full lease, and tasks started in
       it by an order were declared lost at once (docs/incidents/new-session.md).
     """
-    if s.answered_at is None or not s.trusted:
+    if s.last_answer_at is None or not s.trusted:
         return False
     return (
-        now - max(s.answered_at, s.token_at, s.session_at)
+        now - max(s.last_answer_at, s.token_at, s.session_at)
         > lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
     )
 
@@ -195,7 +195,7 @@
         return not (self.calls or self.runs or self.exits or self.needs_replan)
 
 
-def is_reconciled(s: Station, now: float, lease_s: float) -> bool:
+def is_reconciled(s: TrackedMachine, now: float, lease_s: float) -> bool:
     """Whether a new plan would be empty too.
 
     With unchanged inputs only the expiry of the lease can change the plan.
@@ -204,11 +204,11 @@
 
 
 def reconcile(
-    s: Station,
+    s: TrackedMachine,
     desired: dict[TaskId, DesiredTask],
     now: float,
     lease_s: float,
-    alone: Callable[[], bool] = lambda: True,
+    no_peer_renewed: Callable[[], bool] = lambda: True,
     ending: Collection[AttemptId] = (),
 ) -> Plan:
     """Plans commands and exits by comparing the bindings with the machine's report.
@@ -219,7 +219,7 @@
     plan = Plan()
     s.reconciled = False  # an empty plan without trust or after the lease does not predict the next
     if lease_over(s, now, lease_s):
-        if not alone():
+        if not no_peer_renewed():
             return plan
         for (job, index), target in desired.items():
             why = "machine lost: its lease ran out"
@@ -229,7 +229,7 @@
         return plan
     for (job, index), target in desired.items():
         _reconcile_task(s, (job, index, target.task.attempt), target, now, plan, ending)
-    for (job, index), entry in s.entries.items():
+    for (job, index), entry in s.tasks.items():
         bound = desired.get((job, index))
         if bound is not None and bound.task.attempt == entry.attempt:
             continue
@@ -243,13 +243,13 @@
     for attempt_id in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
         del s.sent[attempt_id]
     # The outcome of an order or a start in flight will change the plan.
-    in_flight = s.busy or not all(sent.settled for sent in s.sent.values())
+    in_flight = s.order_in_flight or not all(sent.settled for sent in s.sent.values())
     s.reconciled = plan.is_empty and not in_flight
     return plan
 
 
 def _reconcile_task(
-    s: Station,
+    s: TrackedMachine,
     attempt_id: AttemptId,
     target: DesiredTask,
     now: float,
@@ -257,7 +257,7 @@
     ending: Collection[AttemptId],
 ) -> None:
     job, index, attempt = attempt_id
-    entry = s.entries.get((job, index))
+    entry = s.tasks.get((job, index))
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
             outcome = _exit_outcome(entry)
@@ -297,7 +297,7 @@
         plan.runs.append(attempt_id)
 
 
-def _exit_by_absence(attempt_id: AttemptId, s: Station, outcome: str, detail: str) -> Exit:
+def _exit_by_absence(attempt_id: AttemptId, s: TrackedMachine, outcome: str, detail: str) -> Exit:
     return Exit(*attempt_id, s.id, outcome, detail, by_absence=True)
 
 
@@ -309,19 +309,21 @@
     return entry.why or "lost"
 
 
-def _plan_kill(s: Station, attempt_id: AttemptId, grace_s: float, now: float, plan: Plan) -> None:
+def _plan_kill(
+    s: TrackedMachine, attempt_id: AttemptId, grace_s: float, now: float, plan: Plan
+) -> None:
     key = (attempt_id, grace_s > 0)
     plan.needs_replan = True
     if now - s.killed_at.get(key, -1e9) < c.KILL_REPEAT_S:
         return
-    entry = s.entries[attempt_id[:2]]
+    entry = s.tasks[attempt_id[:2]]
     if entry.state == "saving" and grace_s > 0:
         return
     s.killed_at[key] = now
     plan.calls.append(m.kill(*attempt_id, grace_s))
 
 
-def forget_kills(s: Station, calls: list[dict[str, Any]]) -> None:
+def forget_kills(s: TrackedMachine, calls: list[dict[str, Any]]) -> None:
     """Makes kills among these unsent commands due at once, instead of after `KILL_REPEAT_S`."""
     for call in calls:
         if call["call"] == "kill":
@@ -332,7 +334,7 @@
 FailureCause = Literal["job", "machine", "open"]  # of a failure; "open": unknown yet
 
 
-def is_sick(s: Station, now: float, cause_of: Callable[[str, int], FailureCause]) -> bool:
+def is_sick(s: TrackedMachine, now: float, cause_of: Callable[[str, int], FailureCause]) -> bool:
     """Whether the machine caused the task failures seen on it lately.
 
     `cause_of`: called with a job and how often it failed here. Jobs whose cause is still open count
--- a/pulleydeal/zones/deafness.py
+++ b/pulleydeal/zones/deafness.py
@@ -6,7 +6,7 @@
 from pulleydeal import constants as c
 from pulleydeal.features.context import FeatureContext
 from pulleydeal.http import Client, NoAnswer
-from pulleydeal.workers.reachability import Seen, seen
+from pulleydeal.workers.reachability import SilenceCounts, count_silent
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import losses
 
@@ -21,7 +21,7 @@
     def __init__(
         self,
         context: FeatureContext,
-        peer_observations: Callable[[], list[Seen]],
+        peer_observations: Callable[[], list[SilenceCounts]],
         all_enabled: Callable[[], bool],
     ) -> None:
         self._context = context
@@ -36,10 +36,10 @@
         if not self._membership.is_member or not self._all_enabled():
             return
         deaf = {zone for m, zone in self._membership.view.deaf if m == self._membership.me}
-        stations = list(self._context.stations.values())
+        machines = list(self._context.machines.values())
         now, report_s = self._context.clock.now(), self._context.deployment.workers.report_s
         only_here = losses.deaf_zones(
-            seen(stations, now, report_s), self._peer_observations(), deaf
+            count_silent(machines, now, report_s), self._peer_observations(), deaf
         )
         newly_deaf = {
             zone
--- a/pulleydeal/zones/decide.py
+++ b/pulleydeal/zones/decide.py
@@ -111,7 +111,7 @@
     `peers`: the other nodes of the machine's zone; `unserved_at`: when the state service last did
     not answer this node; `token_epoch`: epoch of the token that the machine last reported. It has
     held that for a whole lease, as otherwise its lease does not count as over
-    (`station.lease_over`).
+    (`lease_over`).
     """
     for peer in peers:
         if peer.removed_epoch is not None and token_epoch >= peer.removed_epoch:
--- a/pulleydeal/zones/losses.py
+++ b/pulleydeal/zones/losses.py
@@ -10,7 +10,7 @@
 from typing import Literal
 
 from pulleydeal import constants as c
-from pulleydeal.workers.reachability import Seen
+from pulleydeal.workers.reachability import SilenceCounts
 from pulleydeal.zones import constants as z
 
 State = Literal["whole", "cut off", "dark", "returning"]
@@ -113,13 +113,13 @@
 
 
 # --- a node that receives nothing from its machines ------------------------------------------
-def hears_nothing(mine: Seen) -> bool:
+def hears_nothing(mine: SilenceCounts) -> bool:
     """Whether a node with machines in several zones hears none, which is no evidence of a cut."""
     return len(mine) > 1 and all(silent == known for silent, known in mine.values())
 
 
 def deaf_zones(
-    mine: Seen, others: Sequence[Seen], deaf: AbstractSet[str] = frozenset()
+    mine: SilenceCounts, others: Sequence[SilenceCounts], deaf: AbstractSet[str] = frozenset()
 ) -> set[str]:
     """Zones whose machines are silent to this node but not to the others that own some there.
 
--- a/pulleydeal/zones/messages.py
+++ b/pulleydeal/zones/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from pulleydeal.frames import Packer, Unpacker
-from pulleydeal.workers.reachability import Seen
+from pulleydeal.workers.reachability import SilenceCounts
 
 NODE_STATUS = 7  # message type on `back`; the others are in membership/messages.py
 
@@ -16,7 +16,8 @@
     revision: int  # the sender's copy of the state is at least as new as this
     served: bool  # the state service answers the sender
     echoes: dict[str, float] = field(default_factory=dict)  # node -> latest stamp received from it
-    seen: Seen = field(default_factory=dict)  # zone -> (silent, known) machines of the sender
+    # zone -> (silent, known) machines of the sender
+    seen: SilenceCounts = field(default_factory=dict)
 
 
 def pack(status: NodeStatus) -> bytes:
--- a/pulleydeal/zones/monitor.py
+++ b/pulleydeal/zones/monitor.py
@@ -5,8 +5,8 @@
 
 from pulleydeal.features.context import FeatureContext
 from pulleydeal.store.job import Job
-from pulleydeal.workers.keeping import DARK, EVACUATED, UNTOLD
-from pulleydeal.workers.reachability import Seen, out_of_sight
+from pulleydeal.workers.partition_policy import KEPT_CANCELLED_JOB, ZONE_DARK, ZONE_EVACUATED
+from pulleydeal.workers.reachability import SilenceCounts, unreachable_zones
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import losses
 from pulleydeal.zones.decide import Contact
@@ -22,7 +22,7 @@
         self,
         context: FeatureContext,
         contacts: dict[str, Contact],
-        peer_observations: Callable[[], list[Seen]],
+        peer_observations: Callable[[], list[SilenceCounts]],
         may_confirm_cancel: Callable[[Job], bool],
     ) -> None:
         self._context = context
@@ -36,9 +36,9 @@
     def observe(self) -> None:
         """Updates the state of every zone; called at each status broadcast."""
         now = self._context.clock.now()
-        stations = list(self._context.stations.values())
+        machines = list(self._context.machines.values())
         report_s = self._context.deployment.workers.report_s
-        unseen = out_of_sight(stations, now, report_s, self._peer_observations())
+        unseen = unreachable_zones(machines, now, report_s, self._peer_observations())
         for zone, observed in self._zones.items():
             observed.observe(zone in unseen, now, lambda zone=zone: self._possible_renewers(zone))  # type: ignore[misc]
             state = losses.zone_state(observed, now)
@@ -71,7 +71,7 @@
     # --- machines to return -----------------------------------------------------------------
     def machines_to_return(self) -> dict[str, str]:
         """Machine -> reason, in the order in which they are returned."""
-        found = dict.fromkeys(self._unconfirmed_cancel_machines(), UNTOLD)
+        found = dict.fromkeys(self._unconfirmed_cancel_machines(), KEPT_CANCELLED_JOB)
         now = self._context.clock.now()
         for zone, observed in self._zones.items():
             if observed.lost_at is None:
@@ -81,14 +81,14 @@
                 continue
             machines = self._lost_machines(zone)
             for lost in losses.dark_returns(observed, machines, lease_s, self._boot_s(), now):
-                found.setdefault(lost.machine, DARK)
+                found.setdefault(lost.machine, ZONE_DARK)
             batch = losses.evacuation_batch(
                 observed, machines, self._boot_s(), self._copies_waiting(), now
             )
             if batch:
                 observed.evacuated_at = now
             for lost in batch:
-                found.setdefault(lost.machine, EVACUATED)
+                found.setdefault(lost.machine, ZONE_EVACUATED)
         return found
 
     def _unconfirmed_cancel_machines(self) -> list[str]:
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -11,9 +11,9 @@
 from pulleydeal.features.routes import Route
 from pulleydeal.store.job import Job
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.keeping import Keeping
-from pulleydeal.workers.reachability import Seen, seen
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.partition_policy import PartitionPolicy
+from pulleydeal.workers.reachability import SilenceCounts, count_silent
+from pulleydeal.workers.tracked_machine import TrackedMachine
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide, losses
 from pulleydeal.zones.deafness import DeafnessMonitor
@@ -23,7 +23,7 @@
 log = logging.getLogger("pulleydeal.zones")
 
 
-class Zones(Keeping):
+class Zones(PartitionPolicy):
     """The lease and cancellation policy of a node that has this feature enabled."""
 
     def __init__(self, context: FeatureContext) -> None:
@@ -33,7 +33,7 @@
         self._replica = context.replica
         self._clock = context.clock
         self._times = context.deployment.workers
-        self._stations = context.stations
+        self._machines = context.machines
         me = self._membership.me
         self._zone = self._membership.zone_of(me)
         now = self._clock.now()
@@ -44,7 +44,8 @@
         }
         self._stamps: dict[str, float] = {}  # peer -> latest stamp received from it
         self._served_at: dict[str, float] = {}  # peer -> when it last reported that it is served
-        self._peer_seen: dict[str, tuple[float, Seen]] = {}  # peer -> (received at, observations)
+        # peer -> (received at, observations)
+        self._peer_seen: dict[str, tuple[float, SilenceCounts]] = {}
         self._unserved_at = now  # when the state service last did not answer this node
         self._broadcast_at = -1e9
         self._renewing = False
@@ -75,8 +76,10 @@
                 self._times.lease_s,
                 self._times.cancel_s,
             )
-        self._zone_monitor = ZoneMonitor(context, self._contacts, self.others_see, self.may_tell)
-        self._deafness_monitor = DeafnessMonitor(context, self.others_see, self._all_enabled)
+        self._zone_monitor = ZoneMonitor(
+            context, self._contacts, self.peer_observations, self.may_confirm_cancel
+        )
+        self._deafness_monitor = DeafnessMonitor(context, self.peer_observations, self._all_enabled)
         self._siblings.on(NODE_STATUS, self._on_status)
         self._replica.listen(self._on_change)
 
@@ -140,11 +143,11 @@
             if over and self._clock.now() - self._broadcast_at >= c.WATCH_SPACING_S / 2:
                 self._broadcast_status()
 
-    def _own_observations(self) -> Seen:
+    def _own_observations(self) -> SilenceCounts:
         """How many of this node's machines are silent, and known, in each zone."""
-        return seen(list(self._stations.values()), self._clock.now(), self._times.report_s)
+        return count_silent(list(self._machines.values()), self._clock.now(), self._times.report_s)
 
-    def others_see(self) -> list[Seen]:
+    def peer_observations(self) -> list[SilenceCounts]:
         now = self._clock.now()
         return [found for at, found in self._peer_seen.values() if now - at < c.HEARD_NOW_S]
 
@@ -171,7 +174,7 @@
     def _all_enabled(self) -> bool:
         return self._membership.all_serve("zones", z.FORMAT)
 
-    def keeps(self, report: m.Report) -> bool:
+    def renews_for_owner(self, report: m.Report) -> bool:
         node = self._local_node()
         reported = {task.task.rpartition("/")[0] for task in report.tasks}
         cancelled = {
@@ -198,25 +201,25 @@
                 self._zone,
             )
 
-    def bears_blindness(self, zone: str) -> bool:
+    def may_renew_while_stale(self, zone: str) -> bool:
         return zone == self._zone and not decide.state_refusal(self._local_node())
 
     # --- lease expiry, cancellations and returns ----------------------------------------------
-    def alone(self, station: Station) -> bool:
+    def no_peer_renewed(self, tracked: TrackedMachine) -> bool:
         lease_s = self._times.lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
         return decide.no_peer_renewed(
-            [contact for contact in self._contacts.values() if contact.zone == station.zone],
+            [contact for contact in self._contacts.values() if contact.zone == tracked.zone],
             self._zone,
             self._unserved_at,
-            station.seen_token >> c.EPOCH_SHIFT,
+            tracked.seen_token >> c.EPOCH_SHIFT,
             lease_s,
             self._clock.now(),
         )
 
-    def holds_back(self) -> bool:
+    def defers_cancellations(self) -> bool:
         return True
 
-    def may_tell(self, job: Job) -> bool:
+    def may_confirm_cancel(self, job: Job) -> bool:
         if not self._membership.known_as_member():
             return False
         # A machine without a record was returned with all its tasks. Its zone is unknown, so
@@ -232,20 +235,20 @@
         ]
         return decide.may_confirm_cancel(peers, job.version)
 
-    async def comes_to_be_told(self, job: Job) -> bool:
+    async def wait_until_confirmable(self, job: Job) -> bool:
         deadline = self._clock.now() + z.CANCEL_CONFIRM_TIMEOUT_S
-        while not self.may_tell(job):
+        while not self.may_confirm_cancel(job):
             if self._clock.now() >= deadline:
                 self._unconfirmed_count.inc()
                 return False
             await asyncio.sleep(z.CANCEL_CONFIRM_POLL_S)
         return True
 
-    def watched_over(self) -> bool:
+    def fleet_leader_decides(self) -> bool:
         return self._all_enabled()
 
-    def owed(self) -> dict[str, str]:
+    def machines_to_return(self) -> dict[str, str]:
         return self._zone_monitor.machines_to_return()
 
-    def distrusted(self) -> set[str]:
+    def excluded_zones(self) -> set[str]:
         return self._zone_monitor.excluded_zones()
--- a/standins/owner.py
+++ b/standins/owner.py
@@ -14,7 +14,7 @@
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 ZONES = ["east", "west"]
 
@@ -55,10 +55,10 @@
 class _Workers:
     def __init__(self, owner: "Owner") -> None:
         self._owner = owner
-        self.stations: dict[str, Station] = {}
-        self.changed: Any = None
+        self.machines: dict[str, TrackedMachine] = {}
+        self.on_credit_change: Any = None
 
-    def silent(self, station: Station) -> bool:
+    def silent(self, tracked: TrackedMachine) -> bool:
         return False
 
     def stop(self, job: str, index: int, attempt: int, why: str) -> None:
@@ -81,9 +81,9 @@
         for machine, zone in machines.items():
             record = r.MachineRecord("up", "t4", zone, False)
             self._put(r.machine_key(machine), record)
-            station = Station(machine, "t4", zone, False, self._now, 0, set())
-            station.heard_at = self._now
-            self._workers.stations[machine] = station
+            tracked = TrackedMachine(machine, "t4", zone, False, self._now, 0, set())
+            tracked.last_report_at = self._now
+            self._workers.machines[machine] = tracked
         membership: Any = _Membership()
         siblings: Any = self._siblings
         workers: Any = self._workers
--- a/tests/model/cut_zone.py
+++ b/tests/model/cut_zone.py
@@ -21,7 +21,7 @@
 from unittest import mock
 
 from pulleydeal import constants as c
-from pulleydeal.workers.station import Station, lease_over
+from pulleydeal.workers.tracked_machine import TrackedMachine, lease_over
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide
 
@@ -225,9 +225,9 @@
 
 def with_conclusions(s: State) -> State:
     """O's conclusion from M's lease, and the confirmation of the cancellation."""
-    m = Station("m", "t", "east", False, 0.0, s.floor << c.EPOCH_SHIFT, set())
-    m.heard_at, m.seen_token = 0.0, s.seen_token << c.EPOCH_SHIFT
-    m.answered_at = float(-s.answered) if s.answered >= 0 else None
+    m = TrackedMachine("m", "t", "east", False, 0.0, s.floor << c.EPOCH_SHIFT, set())
+    m.last_report_at, m.seen_token = 0.0, s.seen_token << c.EPOCH_SHIFT
+    m.last_answer_at = float(-s.answered) if s.answered >= 0 else None
     m.token_at = float(-s.token_at)
     over = lease_over(m, 0.0, float(LEASE))
     k = contact_of(s)
@@ -315,7 +315,7 @@
     s.acked_at = max(s.acked_at, stamp)
 
 
-def _over_since_answer(m: Station, now: float, lease_s: float) -> bool:
+def _over_since_answer(m: TrackedMachine, now: float, lease_s: float) -> bool:
     m.token_at = -float(OLD)
     return _LEASE_OVER(m, now, lease_s)
 
@@ -376,7 +376,7 @@
         "ran_cancelled",
     ),
     "an owner believes M before it holds its token": (
-        *(Station, "trusted", property(lambda _: True)),
+        *(TrackedMachine, "trusted", property(lambda _: True)),
         "ran_twice",
     ),
 }
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -16,7 +16,7 @@
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
-from pulleydeal.workers.station import SentStart, Station
+from pulleydeal.workers.tracked_machine import SentStart, TrackedMachine
 from standins.net import Host, Network, VirtualLoop, on_host
 from tests.test_pending_end import SlowStoreNode, bind_job
 from tests.test_workers import checkin_request, machine_record, make_workers
@@ -26,8 +26,8 @@
 ADDRESS = "10.1.0.1:9000"
 
 
-def station() -> Station:
-    return Station("vm-1", "t4", "east", False, 0.0, 0, set())
+def tracked_machine() -> TrackedMachine:
+    return TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
 
 
 @pytest.mark.parametrize(
@@ -43,16 +43,18 @@
 def test_order_is_withdrawn_when_any_part_of_its_authority_changed(
     now: CommandAuthority, bound: bool, why: WithdrawalReason | None
 ) -> None:
-    owned = station()
+    owned = tracked_machine()
     assert withdrawal_reason(Order(owned, AUTHORITY, [], [START], 0.0), owned, now, bound) is why
 
 
-@pytest.mark.parametrize("owned", [None, station()])
+@pytest.mark.parametrize("owned", [None, tracked_machine()])
 def test_order_is_withdrawn_after_its_ownership_period_even_if_the_node_owns_the_machine_again(
-    owned: Station | None,
+    owned: TrackedMachine | None,
 ) -> None:
     assert (
-        withdrawal_reason(Order(station(), AUTHORITY, [], [START], 0.0), owned, AUTHORITY, True)
+        withdrawal_reason(
+            Order(tracked_machine(), AUTHORITY, [], [START], 0.0), owned, AUTHORITY, True
+        )
         is WithdrawalReason.TENURE
     )
 
@@ -94,12 +96,12 @@
         node.put(r.machine_key("vm-1"), machine_record("up"))
         await workers.checkin(checkin_request("vm-1", 1))
         bind_job(node)
-        slots = workers.commanding.orders._order_slots
+        slots = workers.commander.orders._order_slots
         for _ in range(c.ORDERS_IN_FLIGHT):
             await slots.acquire()
-        owned = workers.stations["vm-1"]
+        owned = workers.machines["vm-1"]
         owned.sent[START] = SentStart(1, 0, direct=True)
-        workers.commanding.send(owned, [m.run(*START)], [START])
+        workers.commander.send(owned, [m.run(*START)], [START])
         await asyncio.sleep(0.2)
         change(workers, owned, node)
         await asyncio.sleep(slots_busy_s - 0.2)
@@ -124,15 +126,15 @@
     """For `run_order`: changes nothing while the order waits."""
 
 
-def new_ownership(workers: Any, owned: Station, _: Any) -> None:
-    workers.stations["vm-1"] = station()
+def new_ownership(workers: Any, owned: TrackedMachine, _: Any) -> None:
+    workers.machines["vm-1"] = tracked_machine()
 
 
 def next_epoch(_: Any, __: Any, node: Any) -> None:
     node.epoch += 1
 
 
-def next_session(_: Any, owned: Station, __: Any) -> None:
+def next_session(_: Any, owned: TrackedMachine, __: Any) -> None:
     owned.session += 1
 
 
@@ -149,8 +151,8 @@
     target = FakeMachine()
     workers = run_order(change, target)
     assert target.bodies == []
-    assert START not in workers.stations["vm-1"].sent  # never sent, so nothing is kept of it
-    assert not workers.stations["vm-1"].busy
+    assert START not in workers.machines["vm-1"].sent  # never sent, so nothing is kept of it
+    assert not workers.machines["vm-1"].order_in_flight
 
 
 def test_queued_order_is_sent_while_its_authority_holds() -> None:
@@ -165,7 +167,7 @@
 
     workers = run_order(no_change, target, slots_busy_s=c.ORDER_QUEUE_MOST_S + 0.5)
     assert target.bodies == []
-    assert not workers.stations["vm-1"].busy
+    assert not workers.machines["vm-1"].order_in_flight
     assert "vm-1" in workers._dirty
     withdrawn = workers._metrics.orders_withdrawn.labels(WithdrawalReason.QUEUE.value)
     assert withdrawn._value.get() == 1
@@ -191,13 +193,15 @@
     busy: list[bool] = []
 
     def reconcile_again(workers: Any) -> None:
-        owned = workers.stations["vm-1"]
-        owned.floor = 4 << 24
-        busy.append(owned.busy)
+        owned = workers.machines["vm-1"]
+        owned.takeover_token = 4 << 24
+        busy.append(owned.order_in_flight)
         workers._reconcile_machine(owned)
 
     run_order(
-        lambda workers, owned, _: setattr(owned, "floor", 4 << 24), target, at_end=reconcile_again
+        lambda workers, owned, _: setattr(owned, "takeover_token", 4 << 24),
+        target,
+        at_end=reconcile_again,
     )
     assert busy == [True] and target.max_concurrent == 1
 
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -13,7 +13,7 @@
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers import incarnation
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.station import Station, absorb
+from pulleydeal.workers.tracked_machine import TrackedMachine, apply_report
 
 
 def report(session: int, seq: int, token: int, *tasks: str) -> m.Report:
@@ -21,9 +21,9 @@
     return m.Report("vm-1", "10.1.0.1:9000", "t4", "east", False, session, seq, token, None, on)
 
 
-def station() -> Station:
-    s = Station("vm-1", "t4", "east", False, 0.0, 70, set())
-    absorb(s, report(2, 500, 70, "j-1/0"), 10.0, checkin=True)
+def tracked_machine() -> TrackedMachine:
+    s = TrackedMachine("vm-1", "t4", "east", False, 0.0, 70, set())
+    apply_report(s, report(2, 500, 70, "j-1/0"), 10.0, checkin=True)
     return s
 
 
@@ -41,11 +41,11 @@
 def test_checkin_that_the_current_run_may_not_have_sent_is_ambiguous(
     checkin: m.Report, at: float, ambiguous: bool
 ) -> None:
-    assert incarnation.is_ambiguous(station(), checkin, at) is ambiguous
+    assert incarnation.is_ambiguous(tracked_machine(), checkin, at) is ambiguous
 
 
 def test_restart_is_detected_from_the_answer_to_an_order() -> None:
-    s = station()
+    s = tracked_machine()
     assert not incarnation.has_restarted(None, report(1, 1, 0))
     before = incarnation.known_state(s)
     assert not incarnation.has_restarted(before, report(2, 501, 70))
@@ -54,9 +54,9 @@
     assert incarnation.has_restarted(before, report(2, 900, 0))
     # Once the machine reports the raised token, it refuses orders sent before the restart.
     new = incarnation.state_after_restart(s, {("j-1", 0, 1)}, 71, 20.0)
-    absorb(new, report(1, 2, 70), 20.0, checkin=False)
+    apply_report(new, report(1, 2, 70), 20.0, checkin=False)
     assert not new.trusted
-    absorb(new, report(1, 3, 71), 20.1, checkin=False)
+    apply_report(new, report(1, 3, 71), 20.1, checkin=False)
     assert new.trusted and new.fence == 1 and new.inherited == {("j-1", 0, 1)}
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -24,7 +24,7 @@
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff
 from pulleydeal.workers.changes import apply_exit, apply_stop
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 from tests import production
 from tests.model import journal as model
 
--- a/tests/test_order_answers.py
+++ b/tests/test_order_answers.py
@@ -50,7 +50,7 @@
 
     def plan(workers: Any) -> None:
         # The node only has the machine's report from before the order.
-        plans.append(workers._plan(workers.stations["vm-1"]))
+        plans.append(workers._plan(workers.machines["vm-1"]))
 
     for name in ANSWERS:
         machine = InvalidAnswers(name)
--- a/tests/test_pending_end.py
+++ b/tests/test_pending_end.py
@@ -13,7 +13,7 @@
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.limits import Limits
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 from tests.test_workers import FakeNode, checkin_request, machine_record, make_workers
 
 
@@ -48,7 +48,7 @@
     node.put(r.machine_key("vm-1"), machine_record("up"))
     await workers.checkin(checkin_request("vm-1", 1))
     bind_job(node)
-    workers.stations["vm-1"].unanswered_since = node.clock_s
+    workers.machines["vm-1"].unanswered_since = node.clock_s
     node.clock_s += c.UNREACHED_S + 0.5
     await workers.checkin(checkin_request("vm-1", 2))
     return workers
@@ -69,7 +69,7 @@
         node = SlowStoreNode()
         workers = await workers_with_pending_exit(node)
         if new_ownership:
-            workers.stations["vm-1"] = Station("vm-1", "t4", "east", False, 1.0, 0, set())
+            workers.machines["vm-1"] = TrackedMachine("vm-1", "t4", "east", False, 1.0, 0, set())
         return machine_after_write(node)
 
     assert asyncio.run(run(new_ownership=False)) == ""
@@ -83,7 +83,7 @@
         workers = await workers_with_pending_exit(node)
         first = await workers.checkin(checkin_request("vm-1", 3))
         # The machine answers again before the exit is written.
-        workers.stations["vm-1"].unanswered_since = None
+        workers.machines["vm-1"].unanswered_since = None
         node.clock_s += 0.5
         second = await workers.checkin(checkin_request("vm-1", 4))
         return len(node.queued), [first.body, second.body]
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -15,7 +15,7 @@
 from pulleydeal.store.client import Unknown
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import Replica
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from standins.script import LoopClock, virtually
 
 TYPE = r.MachineType("t4", 16.0, 4.0, 64.0, 50.0, 1.0, 4.0, 1.0, 20.0, ["east"])
@@ -37,7 +37,7 @@
         me: Any = self
         limits, teams = StateLimits(200.0, 80.0, 8.0, 32), {"core": Team("core")}
         self.fleet = Fleet(
-            me, me, me, teams, ["east"], [], me, limits, Policy(), set, Keeping()
+            me, me, me, teams, ["east"], [], me, limits, Policy(), set, PartitionPolicy()
         )  # fmt: skip
         self.put({r.CATALOG: r.Catalog([TYPE]), r.VIEW: r.View(1, {"winch-0": "abc"})}, [])
         self.replica.end_load(self.replica.revision)
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -13,16 +13,16 @@
 from experiments import restarts
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
+from pulleydeal.workers.desired import desired_tasks
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import (
+from pulleydeal.workers.tracked_machine import (
     DesiredTask,
     SentStart,
-    Station,
-    absorb,
+    TrackedMachine,
+    apply_report,
     is_reconciled,
     reconcile,
 )
-from pulleydeal.workers.wanted import desired_tasks
 from standins.scenario import play
 from tests.test_station import LEASE_S, SPEC
 from tests.test_workers import FakeNode, checkin_request, make_workers
@@ -31,12 +31,12 @@
 RUNNING = ("j-1/0#1", "running")
 
 
-def station_with_report(*tasks: tuple[str, str]) -> Station:
+def machine_with_report(*tasks: tuple[str, str]) -> TrackedMachine:
     """A machine that reported these tasks in a check-in, which its owner answered."""
-    station = Station("vm-1", "t4", "east", False, 0.0, 0, set())
-    absorb(station, report_of(1, *tasks), 1.0, checkin=True)
-    station.answered_at = 1.0
-    return station
+    tracked = TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
+    apply_report(tracked, report_of(1, *tasks), 1.0, checkin=True)
+    tracked.last_answer_at = 1.0
+    return tracked
 
 
 def report_of(seq: int, *tasks: tuple[str, str]) -> Any:
@@ -52,43 +52,43 @@
 
 
 def test_empty_plan_is_skipped_until_the_reported_tasks_change() -> None:
-    station = station_with_report(RUNNING)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and is_reconciled(
-        station, 2.5, LEASE_S
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and is_reconciled(
+        tracked, 2.5, LEASE_S
     )
-    absorb(station, report_of(2, RUNNING), 3.0, checkin=True)
-    assert is_reconciled(station, 3.0, LEASE_S)
-    absorb(station, report_of(3, ("j-1/0#1", "exited")), 4.0, checkin=True)
-    assert not is_reconciled(station, 4.0, LEASE_S)
+    apply_report(tracked, report_of(2, RUNNING), 3.0, checkin=True)
+    assert is_reconciled(tracked, 3.0, LEASE_S)
+    apply_report(tracked, report_of(3, ("j-1/0#1", "exited")), 4.0, checkin=True)
+    assert not is_reconciled(tracked, 4.0, LEASE_S)
 
 
 def test_ineffective_kill_is_repeated() -> None:
-    station = station_with_report(RUNNING)
-    assert reconcile(station, bound("cancelled"), 2.0, LEASE_S).calls
-    assert not reconcile(station, bound("cancelled"), 3.0, LEASE_S).calls
-    assert not is_reconciled(station, 3.0, LEASE_S)
-    assert reconcile(station, bound("cancelled"), 4.1, LEASE_S).calls
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound("cancelled"), 2.0, LEASE_S).calls
+    assert not reconcile(tracked, bound("cancelled"), 3.0, LEASE_S).calls
+    assert not is_reconciled(tracked, 3.0, LEASE_S)
+    assert reconcile(tracked, bound("cancelled"), 4.1, LEASE_S).calls
 
 
 def test_empty_plan_without_trust_or_after_the_lease_is_not_skipped() -> None:
-    station = station_with_report()
-    station.floor = 7
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
-    station = station_with_report(RUNNING)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty
-    assert not is_reconciled(station, 2.0 + 2 * LEASE_S, LEASE_S)
-    late = partial(reconcile, station, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
-    assert late(alone=lambda: False).is_empty and not station.reconciled
-    assert late(alone=lambda: True).exits
+    tracked = machine_with_report()
+    tracked.takeover_token = 7
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty
+    assert not is_reconciled(tracked, 2.0 + 2 * LEASE_S, LEASE_S)
+    late = partial(reconcile, tracked, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
+    assert late(no_peer_renewed=lambda: False).is_empty and not tracked.reconciled
+    assert late(no_peer_renewed=lambda: True).exits
 
 
 def test_plan_is_not_skipped_while_a_start_or_order_is_in_flight() -> None:
-    station = station_with_report()
-    station.sent[("j-1", 0, 1)] = SentStart(1, 1)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
-    station = station_with_report(RUNNING)
-    station.busy = True
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.reconciled
+    tracked = machine_with_report()
+    tracked.sent[("j-1", 0, 1)] = SentStart(1, 1)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
+    tracked = machine_with_report(RUNNING)
+    tracked.order_in_flight = True
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
 
 
 def test_relayed_cancellation_reaches_a_reconciled_machine() -> None:
@@ -108,7 +108,7 @@
         answer = asyncio.run(found.checkin(checkin_request("vm-1", tally, "j-1/0")))
         return [call["call"] for call in json.loads(answer.body)["calls"]]
 
-    assert calls(1) == calls(2) == [] and found.stations["vm-1"].reconciled
+    assert calls(1) == calls(2) == [] and found.machines["vm-1"].reconciled
     NodeWithRelayedCancels.relayed = {"j-1"}
     assert calls(3) == ["kill"]
 
@@ -118,14 +118,14 @@
     counts: Counter[str] = Counter()
     original = Workers._is_reconciled
 
-    def is_reconciled(self: Workers, station: Station, now: float) -> bool:
-        found = original(self, station, now)
+    def is_reconciled(self: Workers, tracked: TrackedMachine, now: float) -> bool:
+        found = original(self, tracked, now)
         if found:
-            copied = copy.deepcopy(station)
+            copied = copy.deepcopy(tracked)
             lease_s = self._times.lease_s
-            alone = partial(self._keeping.alone, station)
-            desired = desired_tasks(self._replica, station.id, self._membership.relayed_cancels())
-            plan = reconcile(copied, desired, now, lease_s, alone)
+            no_peer_renewed = partial(self._partition_policy.no_peer_renewed, tracked)
+            desired = desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels())
+            plan = reconcile(copied, desired, now, lease_s, no_peer_renewed)
             counts["skipped" if plan.is_empty else "missed"] += 1
         return found
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -7,7 +7,14 @@
 from pulleydeal.store.records import JobSpec, Task
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.reachability import one_way_too_long
-from pulleydeal.workers.station import AttemptId, DesiredTask, SentStart, Station, absorb, reconcile
+from pulleydeal.workers.tracked_machine import (
+    AttemptId,
+    DesiredTask,
+    SentStart,
+    TrackedMachine,
+    apply_report,
+    reconcile,
+)
 
 LEASE_S = 14.0
 STATES = {"waiting": "gathering", "saving": "flushing"}
@@ -35,14 +42,16 @@
 class Replay:
     def __init__(self) -> None:
         self.now = 100.0
-        self.station = Station("vm-1", "t4", "east", False, self.now, 0, set())
+        self.machine = TrackedMachine("vm-1", "t4", "east", False, self.now, 0, set())
         self.desired: dict[tuple[str, int], DesiredTask] = {}
 
     def event(self, words: list[str]) -> None:
-        s, verb = self.station, words[0]
+        s, verb = self.machine, words[0]
         if verb == "own":
             inherited = {start(w) for w in words[3:]}
-            self.station = Station("vm-1", "t4", "east", False, self.now, int(words[1]), inherited)
+            self.machine = TrackedMachine(
+                "vm-1", "t4", "east", False, self.now, int(words[1]), inherited
+            )
         elif verb == "report":
             self.report(words)
         elif verb == "bind":
@@ -64,7 +73,7 @@
             s.sent[start(words[1])].direct = False
             s.sent[start(words[1])].fence = int(words[3])
         elif verb == "answered":
-            s.answered_at = self.now
+            s.last_answer_at = self.now
         elif verb == "wait":
             self.now += float(words[1])
         else:
@@ -99,10 +108,10 @@
             None,
             tasks,
         )
-        absorb(self.station, report, self.now, checkin=True)
+        apply_report(self.machine, report, self.now, checkin=True)
 
     def decisions(self) -> list[str]:
-        plan = reconcile(self.station, self.desired, self.now, LEASE_S)
+        plan = reconcile(self.machine, self.desired, self.now, LEASE_S)
         lines = []
         for call in plan.calls:
             grace = f" {call['ease_s']:g}" if call["call"] == "kill" else ""
@@ -129,8 +138,8 @@
 
 def test_unsent_start_is_lost_when_orders_stay_unanswered() -> None:
     """Starts were retried for as long as orders got no answer, and their tasks kept waiting."""
-    s = Station("m", "t4", "east", False, 0.0, 5, set())
-    s.heard_at, s.seen_token, s.unanswered_since = 10.0, 5, 10.0
+    s = TrackedMachine("m", "t4", "east", False, 0.0, 5, set())
+    s.last_report_at, s.seen_token, s.unanswered_since = 10.0, 5, 10.0
     desired = {("j-1", 0): DesiredTask(Task("m", 1), SPEC)}
     assert reconcile(s, desired, 12.0, 14.0).runs == [("j-1", 0, 1)]
     plan = reconcile(s, desired, 15.0, 14.0)
@@ -143,12 +152,12 @@
 
 
 def test_few_deaf_machines_are_returned_but_many_are_kept() -> None:
-    def deaf(name: str, trusted: bool) -> Station:
-        s = Station(name, "t4", "east", False, 0.0, 5, set())
-        s.heard_at, s.seen_token, s.unanswered_since = 99.0, 5 if trusted else 4, 80.0
+    def deaf(name: str, trusted: bool) -> TrackedMachine:
+        s = TrackedMachine(name, "t4", "east", False, 0.0, 5, set())
+        s.last_report_at, s.seen_token, s.unanswered_since = 99.0, 5 if trusted else 4, 80.0
         return s
 
-    reachable = [Station(f"h{i}", "t4", "east", False, 0.0, 5, set()) for i in range(9)]
+    reachable = [TrackedMachine(f"h{i}", "t4", "east", False, 0.0, 5, set()) for i in range(9)]
     few = [deaf("m-1", trusted=False), deaf("m-2", trusted=True)]
     found = one_way_too_long([*reachable, *few], 99.0, 3.0, 14.0)
     assert found == ["m-1"]  # m-2 holds the current token, so it is kept longer
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from pulleydeal.store.reasons import short
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.changes import apply_exit, apply_stop
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 
 LIMITS = Limits(2000, 8)
 
--- a/tests/test_untold.py
+++ b/tests/test_untold.py
@@ -19,24 +19,24 @@
 from pulleydeal.store.rate import Turn
 from pulleydeal.store.replica import Replica
 from pulleydeal.submissions.service import Submissions
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 SPEC = r.JobSpec("j-1", "c", "core", "array", 1, 2, 1.0, 0.0, 1.0, "img", 1.0)
 
 
-class CutOffKeeping(Keeping):
+class CutOffKeeping(PartitionPolicy):
     """A cut-off node has acknowledged the cancellation (`acked`) or not."""
 
     def __init__(self) -> None:
         self.acked = False
 
-    def holds_back(self) -> bool:
+    def defers_cancellations(self) -> bool:
         return True
 
-    def may_tell(self, job: Job) -> bool:
+    def may_confirm_cancel(self, job: Job) -> bool:
         return self.acked
 
-    async def comes_to_be_told(self, job: Job) -> bool:
+    async def wait_until_confirmable(self, job: Job) -> bool:
         return self.acked
 
 
@@ -54,7 +54,7 @@
     def known_as_member(self) -> bool:
         return self.known_to_all
 
-    def __init__(self, keeping: Keeping) -> None:
+    def __init__(self, partition_policy: PartitionPolicy) -> None:
         self.replica = Replica()
         self.revision = 0
         self.unseen_events: list[m.Event] = []
@@ -63,7 +63,9 @@
         self.client = me
         self.writes_per_s = 10.0
         team = {"core": Team("core")}
-        self.users = Submissions(me, me, team, ["east"], me, Metrics(), lambda _: "", keeping)
+        self.users = Submissions(
+            me, me, team, ["east"], me, Metrics(), lambda _: "", partition_policy
+        )
         type_ = r.MachineType("t4", 8.0, 2.0, 64.0, 50.0, 1.0, 9.0, 3.0, 45.0, ["east"])
         self.put(
             {r.CATALOG: r.Catalog([type_]), r.job_key("j-1"): r.JobRecord("open", 2, 1.0, SPEC)}
@@ -127,26 +129,26 @@
 
 
 def test_until_it_can_be_confirmed_a_cancel_is_503_and_the_job_is_running() -> None:
-    keeping = CutOffKeeping()
-    node = Node(keeping)
+    partition_policy = CutOffKeeping()
+    node = Node(partition_policy)
     node.bind()
     node.watch()
     assert node.cancel() == 503
     assert node.show() == (200, "running")
     assert [p[r.job_key("j-1")].untold for p in node.writes] == [True]
-    keeping.acked = True
+    partition_policy.acked = True
     assert node.cancel() == 200
     assert node.show() == (200, "cancelled")
     assert [p[r.job_key("j-1")].untold for p in node.writes] == [True, False]
 
 
 def test_a_poll_also_confirms_it_as_soon_as_it_can() -> None:
-    keeping = CutOffKeeping()
-    node = Node(keeping)
+    partition_policy = CutOffKeeping()
+    node = Node(partition_policy)
     node.bind()
     node.watch()
     assert node.cancel() == 503
-    keeping.acked = True
+    partition_policy.acked = True
     assert node.show() == (200, "cancelled")
     assert node.writes[-1][r.job_key("j-1")].untold is False  # durable before the answer
 
@@ -179,11 +181,11 @@
     assert node.show() == (200, "running")
 
 
-@pytest.mark.parametrize("keeping", [Keeping(), CutOffKeeping()])
+@pytest.mark.parametrize("partition_policy", [PartitionPolicy(), CutOffKeeping()])
 def test_a_slim_record_is_written_only_with_a_replica_as_new_as_the_cancellation(
-    keeping: Keeping,
+    partition_policy: PartitionPolicy,
 ) -> None:
-    node = Node(keeping)
+    node = Node(partition_policy)
     node.bind()
     node.cancel()
 
@@ -216,7 +218,7 @@
 
 def test_a_member_not_known_to_all_confirms_only_once_tasks_are_proved_gone() -> None:
     """Two blind nodes with an older view don't ask for the heartbeats of a new member."""
-    node = Node(Keeping())
+    node = Node(PartitionPolicy())
     node.known_to_all = False
     node.bind()
     node.watch()
@@ -286,7 +288,7 @@
         node.put({r.job_key("j-2"): slim})
         node.watch()
 
-    node = Slow(Keeping())
+    node = Slow(PartitionPolicy())
     node.meanwhile = cancel_elsewhere
 
     async def submit() -> Response:
@@ -298,13 +300,13 @@
 
 def test_the_answer_after_a_write_comes_from_the_present_replica() -> None:
     """The replica is reloaded during the write, so a job looked up before is stale."""
-    keeping = CutOffKeeping()
-    node = Slow(keeping)
+    partition_policy = CutOffKeeping()
+    node = Slow(partition_policy)
     node.meanwhile = lambda _: None
     node.bind()
     node.watch()
     assert node.cancel() == 503
-    keeping.acked = True
+    partition_policy.acked = True
 
     def reload(node: Slow) -> None:
         records = {
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,7 @@
 from pulleydeal.store.reasons import CODES, short, shown
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.changes import apply_exit, apply_stop
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 
 RECORDS, MESSAGES = production.trace(Path(__file__).parent / "traces" / "production.txt")
 SMALL = tightest(StateLimits(200.0, 80.0, 8.0, 24, NextLimits(56.0, 2.0, 8)))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -19,7 +19,7 @@
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import Replica
 from pulleydeal.submissions.service import Submissions
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 BODY = {
     "name_id": "j-9",
@@ -61,7 +61,9 @@
         me: Any = self
         self.client = me
         self.write_wait_s, self.writes_per_s = 0.0, 10.0
-        self.users = Submissions(me, me, team, ["east"], me, Metrics(), lambda _: "", Keeping())
+        self.users = Submissions(
+            me, me, team, ["east"], me, Metrics(), lambda _: "", PartitionPolicy()
+        )
 
     def _put(self, puts: dict[str, Any]) -> None:
         encoded = {k: msgspec.json.encode(v) for k, v in puts.items()}
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -12,9 +12,9 @@
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.commands import CommandAuthority, Order
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import FailureCause, SentStart, Station, is_sick
+from pulleydeal.workers.tracked_machine import FailureCause, SentStart, TrackedMachine, is_sick
 
 
 class FakeNode:
@@ -57,7 +57,7 @@
 
 def make_workers(node: Any) -> Workers:
     times = WorkerTimes(report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34)
-    return Workers(node, node, times, node, Metrics(), {}, Keeping())
+    return Workers(node, node, times, node, Metrics(), {}, PartitionPolicy())
 
 
 def checkin_request(machine: str, tally: int, *lifts: str, token: int = 3 << 24) -> Request:
@@ -83,22 +83,22 @@
     node = FakeNode()
     workers = make_workers(node)
     credit_changes: list[str] = []
-    workers.changed = credit_changes.append
+    workers.on_credit_change = credit_changes.append
     node.put(r.machine_key("vm-1"), machine_record("up"))
     asyncio.run(workers.checkin(checkin_request("vm-1", 1)))
-    assert list(workers.stations) == ["vm-1"]
+    assert list(workers.machines) == ["vm-1"]
     node.put(r.machine_key("vm-1"), machine_record("drain"))
-    assert list(workers.stations) == ["vm-1"]  # its tasks must still be stopped
+    assert list(workers.machines) == ["vm-1"]  # its tasks must still be stopped
     credit_changes.clear()
     node.put(r.machine_key("vm-1"), machine_record("gone"))
-    assert workers.stations == {} and credit_changes == ["vm-1"]
+    assert workers.machines == {} and credit_changes == ["vm-1"]
 
 
 def test_only_a_changed_report_renews_the_credit() -> None:
     node = FakeNode()
     workers = make_workers(node)
     credit_changes: list[str] = []
-    workers.changed = credit_changes.append
+    workers.on_credit_change = credit_changes.append
     node.put(r.machine_key("vm-1"), machine_record("up"))
     answers = []
     for tally, lifts in ((1, []), (2, []), (3, ["j-1/0"]), (4, ["j-1/0"])):
@@ -109,7 +109,7 @@
 
 
 def test_failures_of_different_jobs_blame_the_machine_unless_they_fail_elsewhere() -> None:
-    s = Station("vm-1", "t4", "east", False, 0.0, 0, set())
+    s = TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
 
     def set_failures(*jobs: str) -> None:
         s.errors = [(10.0 + i, (job, i, 1)) for i, job in enumerate(jobs)]
@@ -142,8 +142,8 @@
 
     async def run() -> list[Any]:
         await workers.checkin(checkin_request("vm-1", 1, "j-1/0"))
-        workers.stations["vm-1"].busy = True
-        workers.stations["vm-1"].killed_at.clear()
+        workers.machines["vm-1"].order_in_flight = True
+        workers.machines["vm-1"].killed_at.clear()
         reply = await workers.checkin(checkin_request("vm-1", 2, "j-1/0", "j-2/0"))
         return list(msgspec.json.decode(reply.body)["calls"])
 
@@ -173,7 +173,7 @@
         trusted = []
         for tally, token in ((7, 3 << 24), (8, (3 << 24) + 1)):
             reply = await workers.checkin(checkin_request("vm-9", tally, token=token))
-            trusted.append(workers.stations["vm-9"].trusted)
+            trusted.append(workers.machines["vm-9"].trusted)
             assert msgspec.json.decode(reply.body)["whistle"] == (3 << 24) + 1
         return trusted
 
@@ -185,14 +185,14 @@
     workers = make_workers(node)
     node.put(r.machine_key("vm-1"), machine_record("up"))
     probed: list[str] = []
-    workers.commanding.probe = lambda station: probed.append(station.id)  # type: ignore[method-assign]
+    workers.commander.probe = lambda tracked: probed.append(tracked.id)  # type: ignore[method-assign]
 
     async def run() -> None:
         await workers.checkin(checkin_request("vm-1", 40, "j-1/0", token=2 << 24))
-        workers._reconcile_machine(workers.stations["vm-1"])
+        workers._reconcile_machine(workers.machines["vm-1"])
 
     asyncio.run(run())
-    assert probed == ["vm-1"] and not workers.stations["vm-1"].trusted
+    assert probed == ["vm-1"] and not workers.machines["vm-1"].trusted
 
 
 def test_unanswered_start_is_lost_only_after_a_report_with_a_higher_token() -> None:
@@ -208,12 +208,12 @@
     async def run() -> list[list[Any]]:
         await workers.checkin(checkin_request("vm-1", 1))
         node.put(r.chunk_key("j-1", 0), [r.Task("vm-1", 1)])
-        station = workers.stations["vm-1"]
+        tracked = workers.machines["vm-1"]
         start = ("j-1", 0, 1)
-        station.sent[start] = SentStart(1, 0, direct=True)
+        tracked.sent[start] = SentStart(1, 0, direct=True)
         authority = CommandAuthority(3, 3 << 24, 1)
-        workers.commanding.orders._handle_unconfirmed(
-            Order(station, authority, [], [start], 1.0), maybe_executed=True
+        workers.commander.orders._handle_unconfirmed(
+            Order(tracked, authority, [], [start], 1.0), maybe_executed=True
         )
         seen = []
         for tally, token in ((2, 3 << 24), (3, (3 << 24) + 1)):
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -34,10 +34,10 @@
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order
 from pulleydeal.workers.eviction import Eviction
-from pulleydeal.workers.keeping import Keeping
 from pulleydeal.workers.outcomes import Outcome, read_answer
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from pulleydeal.workers.reachability import one_way_too_long
-from pulleydeal.workers.station import absorb
+from pulleydeal.workers.tracked_machine import apply_report
 from standins.net import Host, on_host
 from standins.script import LoopClock, virtually
 from tests.test_commands import (
@@ -47,7 +47,7 @@
     VirtualTimeNode,
     no_change,
     run_order,
-    station,
+    tracked_machine,
 )
 from tests.test_pending_end import SlowStoreNode, bind_job
 from tests.test_workers import checkin_request, machine_record, make_workers
@@ -88,28 +88,28 @@
     """Else its tasks would be stopped, and its session and report number attributed to this one."""
     other = Response(200, checkin_request("vm-2", 9, "j-9/0").body)
     workers = run_order(no_change, FixedReply(other))
-    station = workers.stations["vm-1"]
-    assert station.entries == {} and station.seq == 1
+    tracked = workers.machines["vm-1"]
+    assert tracked.tasks == {} and tracked.seq == 1
 
 
 def test_address_answered_by_another_machine_is_dropped_until_the_next_checkin() -> None:
     """Orders do not name their machine: any machine at the address would execute them."""
     workers = run_order(no_change, FixedReply(Response(200, checkin_request("vm-2", 9).body)))
-    station = workers.stations["vm-1"]
-    assert station.addr == ""
-    absorb(station, decoded(checkin_request("vm-1", 2)), 1.0, checkin=True)
-    assert station.addr == ADDRESS
+    tracked = workers.machines["vm-1"]
+    assert tracked.addr == ""
+    apply_report(tracked, decoded(checkin_request("vm-1", 2)), 1.0, checkin=True)
+    assert tracked.addr == ADDRESS
 
 
 def test_start_of_unknown_outcome_is_settled_by_a_report_with_a_higher_token() -> None:
     """As after an unanswered order: a report with the raised token proves that it is fenced."""
     workers = run_order(no_change, FixedReply(answer(500, {})))
-    station = workers.stations["vm-1"]
-    fence = workers.commanding.token(station)
+    tracked = workers.machines["vm-1"]
+    fence = workers.commander.token(tracked)
     assert fence == (3 << 24) + 1
     for seq, token, settled in ((3, 3 << 24, False), (4, fence, True)):
-        absorb(station, decoded(checkin_request("vm-1", seq, token=token)), 1.0, checkin=True)
-        assert station.sent[START].settled is settled
+        apply_report(tracked, decoded(checkin_request("vm-1", seq, token=token)), 1.0, checkin=True)
+        assert tracked.sent[START].settled is settled
 
 
 def test_refusal_that_the_report_contradicts_proves_nothing() -> None:
@@ -117,7 +117,7 @@
     workers = run_order(
         no_change, FixedReply(answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body)))
     )
-    assert workers.stations["vm-1"].sent[START].fence is not None
+    assert workers.machines["vm-1"].sent[START].fence is not None
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     status: int, session: int, token: int, outcome: Outcome
 ) -> None:
     body = msgspec.json.decode(checkin_request("vm-1", 2, token=token).body) | {"shift": session}
-    order = Order(station(), AUTHORITY, [], [START], 0.0)
+    order = Order(tracked_machine(), AUTHORITY, [], [START], 0.0)
     assert read_answer(order, status, msgspec.json.encode(body)).outcome is outcome
 
 
@@ -145,7 +145,7 @@
     """The report's token is below the order's, as from a cache in between. Each such answer is
     taken for a restart of the machine, which is probed at once: some hundred orders a second, each
     with a raised fence. The log repeats "invalid answer to an order: status 200 and a report that
-    contradicts it (1 times)". Bound: probed again at once, then only by `Eviction.tend`.
+    contradicts it (1 times)". Bound: probed again at once, then only by `Eviction.run_round`.
     """
     stale = answer(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
     target = FixedReply(stale)
@@ -156,7 +156,7 @@
 def test_refused_start_is_forgotten() -> None:
     newer = answer(409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body))
     workers = run_order(no_change, FixedReply(newer))
-    assert START not in workers.stations["vm-1"].sent
+    assert START not in workers.machines["vm-1"].sent
 
 
 def test_machine_with_invalid_answers_is_commanded_by_checkin_answers() -> None:
@@ -183,17 +183,17 @@
         await asyncio.sleep(5.0)
         answers.append((await workers.checkin(checkin_request("vm-1", 2))).body)
         rounds.cancel()
-        found.append(workers.stations["vm-1"])
+        found.append(workers.machines["vm-1"])
         await cancel_other_tasks()
 
     virtually(lambda clock: on_host(Host("10.0.0.1", "east"), work(clock)))
-    station = found[0]
-    assert len(target.bodies) == 1  # later probes come from `Eviction.tend`, twice a second
-    assert station.fence == 1
+    tracked = found[0]
+    assert len(target.bodies) == 1  # later probes come from `Eviction.run_round`, twice a second
+    assert tracked.fence == 1
     assert b"j-2/0" in answers[0] and b"j-1/0" not in answers[0]
-    stations = [station]
-    station.heard_at = station.checkin_at = 200.0
-    assert one_way_too_long(stations, 200.0, 3.0, 14.0) == []  # nor is it returned for that
+    machines = [tracked]
+    tracked.last_report_at = tracked.last_checkin_at = 200.0
+    assert one_way_too_long(machines, 200.0, 3.0, 14.0) == []  # nor is it returned for that
 
 
 def test_valid_probe_answer_restores_direct_orders() -> None:
@@ -203,8 +203,8 @@
         (answer(500, {}), True),
     ):
         workers = run_order(no_change, FixedReply(reply))
-        assert workers.stations["vm-1"].last_answer_invalid is last_answer_invalid
-        assert workers.stations["vm-1"].unanswered_since is None
+        assert workers.machines["vm-1"].last_answer_invalid is last_answer_invalid
+        assert workers.machines["vm-1"].unanswered_since is None
 
 
 def test_unsent_kill_is_in_the_next_checkin_answer() -> None:
@@ -216,7 +216,7 @@
         node.put(r.machine_key("vm-1"), machine_record("up"))
         await workers.checkin(checkin_request("vm-1", 1, "j-9/0"))  # not bound: killed
         node.clock_s += c.KILL_REPEAT_S + 0.1
-        owned = workers.stations["vm-1"]
+        owned = workers.machines["vm-1"]
         owned.last_answer_invalid = True
         workers._reconcile_machine(owned)
         return (await workers.checkin(checkin_request("vm-1", 2, "j-9/0"))).body
@@ -240,10 +240,19 @@
         workers = make_workers(node)
         node.put(r.machine_key("vm-1"), machine_record("up"))
         await workers.checkin(checkin_request("vm-1", 1))
-        workers.stations["vm-1"].last_answer_invalid = last_answer_invalid
+        workers.machines["vm-1"].last_answer_invalid = last_answer_invalid
         me: Any = node
-        eviction = Eviction(me, me, workers._times, me, workers.stations, probes, Keeping(), set())  # type: ignore[arg-type]
-        await eviction.tend()
+        eviction = Eviction(
+            me,
+            me,
+            workers._times,
+            me,
+            workers.machines,
+            probes,  # type: ignore[arg-type]
+            PartitionPolicy(),
+            set(),
+        )
+        await eviction.run_round()
         return probes.probed
 
     assert asyncio.run(run(last_answer_invalid=True)) == ["vm-1"]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,7 +7,7 @@
 from pulleydeal import constants as c
 from pulleydeal.frames import BadFrame
 from pulleydeal.workers.messages import Report
-from pulleydeal.workers.station import Station, absorb, lease_over
+from pulleydeal.workers.tracked_machine import TrackedMachine, apply_report, lease_over
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import decide
 from pulleydeal.zones.messages import NodeStatus, pack, unpack
@@ -102,8 +102,8 @@
 
 def test_a_lease_counts_from_when_the_machine_held_the_owners_token() -> None:
     """The owner's first answer was lost, and an earlier owner with an older copy renewed later."""
-    s = Station("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
-    s.heard_at, s.answered_at, s.seen_token = 30.0, 10.0, 6 << c.EPOCH_SHIFT
+    s = TrackedMachine("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
+    s.last_report_at, s.last_answer_at, s.seen_token = 30.0, 10.0, 6 << c.EPOCH_SHIFT
     assert not lease_over(s, 100.0, LEASE_S)
     s.seen_token, s.token_at = 7 << c.EPOCH_SHIFT, 30.0
     assert not lease_over(s, 30.0 + LEASE_S, LEASE_S)
@@ -112,13 +112,13 @@
 
 def test_a_new_session_starts_with_a_whole_lease() -> None:
     """Answers to the previous session ended the lease of tasks that an order had started in it."""
-    s = Station("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
+    s = TrackedMachine("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
     for session, at in ((1, 10.0), (2, 100.0)):
         report = Report(
             "vm-1", "a:1", "t4", "east", False, session, 1, 7 << c.EPOCH_SHIFT, None, []
         )
-        assert absorb(s, report, at, checkin=False)
-        s.answered_at = 10.0
+        assert apply_report(s, report, at, checkin=False)
+        s.last_answer_at = 10.0
     assert not lease_over(s, 100.0 + LEASE_S, LEASE_S)
     assert lease_over(s, 101.1 + LEASE_S, LEASE_S)
 
