--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -16,7 +16,7 @@
 from pulleydeal.fleet.service import Fleet
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.journal.service import Journal
-from pulleydeal.lateness import Lateness, Precedence
+from pulleydeal.lateness import LoopLag, Precedence
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
@@ -50,7 +50,7 @@
         limits = deployment.state
         self._settings = settings
         self.metrics = Metrics()
-        self.lateness = Lateness(clock)
+        self.lateness = LoopLag(clock)
         self.client = StateClient(settings.endpoints.state, clock, limits, nodes)
         self.replica = Replica()
         self.store = Store(self.client, self.replica, clock, rng, tightest(limits))
@@ -74,7 +74,7 @@
             machines,
             self.workers.commander,
             kept,
-            rules.aimed(deployment.objectives),
+            rules.classes_with_objective(deployment.objectives),
         )
         self.credits = Credits(
             self.membership,
@@ -128,7 +128,7 @@
             self.handle,
             sockets,
             crowd="/submissions",
-            crowd_at_once=self.lateness.users_at_once,
+            crowd_at_once=self.lateness.max_user_requests,
         )
 
         service = Service(
@@ -173,7 +173,7 @@
         self.metrics.store_requests.set(self.client.requests)
         self.metrics.store_refusals.set(self.client.refusals)
         self.metrics.strangers.set(self.siblings.strangers)
-        self.metrics.loop_late.set(self.lateness.late_s)
+        self.metrics.loop_late.set(self.lateness.lag_s)
         self.metrics.checkin_age.set(self.workers.oldest_report_s())
         return self.metrics.text()
 
@@ -198,7 +198,7 @@
             "journal": self.journal.tidy,
         }
         return {
-            "lateness": self.lateness.watch,
+            "lateness": self.lateness.measure,
             "follow": self.store.follow,
             "membership": self.membership.keep,
             "view": self.membership.tend,
--- a/pulleydeal/credits/making.py
+++ b/pulleydeal/credits/builder.py
@@ -4,17 +4,17 @@
 
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.asks import resources_needed
 from pulleydeal.credits.images import ImageLocations
-from pulleydeal.credits.messages import Need
-from pulleydeal.credits.queue import Credit, Room, TaskId, Victim
+from pulleydeal.credits.messages import Resources
+from pulleydeal.credits.queue import Credit, FreeCapacity, TaskId, Victim
+from pulleydeal.credits.requests import resources_needed
 from pulleydeal.settings import Objective
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.tracked_machine import TrackedMachine
 
 
-class CreditMaker:
+class CreditBuilder:
     """Computes the credit of one machine; the caller decides which machines to recompute."""
 
     def __init__(
@@ -47,8 +47,11 @@
         # A machine that reports but does not answer orders can't be told to start anything.
         return not self._is_silent(tracked) and tracked.unanswered_since is None
 
-    def credit(
-        self, tracked: TrackedMachine, held: Iterable[tuple[TaskId, Need]], reserved: TaskId | None
+    def build(
+        self,
+        tracked: TrackedMachine,
+        held: Iterable[tuple[TaskId, Resources]],
+        reserved: TaskId | None,
     ) -> Credit | None:
         """Returns the machine's credit, or None if nothing may be started there now.
 
@@ -58,24 +61,24 @@
         if not self.offers_credit(tracked):
             return None
         type_ = self._replica.types[tracked.type]
-        room = Room(type_.cpus, type_.gpus, type_.memory)
+        room = FreeCapacity(type_.cpus, type_.gpus, type_.memory)
         victims = []
         bound = self._replica.bound.get(tracked.id, {})
         for (job_id, index), task in bound.items():
             spec = self._replica.jobs[job_id].spec
             if spec is None:
                 continue
-            room.take(resources_needed(spec))
+            room.subtract(resources_needed(spec))
             if not task.stop and spec.priority < len(r.PRIORITIES) - 1:
                 victims.append(_victim(index, task, spec, self._would_miss_objective(job_id)))
         for task_id, entry in tracked.tasks.items():
             job = self._replica.jobs.get(task_id[0])
             if task_id not in bound and entry.state != "exited" and job and job.spec:
                 # No longer bound, but it uses capacity until it is killed.
-                room.take(resources_needed(job.spec))
+                room.subtract(resources_needed(job.spec))
         for task_id, need in held:
             if task_id not in bound:
-                room.take(need)
+                room.subtract(need)
         fetching = self._images_being_fetched(tracked)
         return Credit(
             tracked.id,
@@ -93,7 +96,7 @@
         result = self._at_risk.get(job_id)
         if result is None:
             job = self._replica.jobs[job_id]
-            result = rules.can_lose(job, self._objectives, self._clock.wall())
+            result = rules.stop_would_miss_objective(job, self._objectives, self._clock.wall())
             self._at_risk[job_id] = result
         return result
 
--- a/pulleydeal/credits/images.py
+++ b/pulleydeal/credits/images.py
@@ -7,7 +7,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
-from pulleydeal.credits.messages import Cached, pack_cached, unpack_cached
+from pulleydeal.credits.messages import CachedImages, pack_cached_images, unpack_cached_images
 from pulleydeal.membership.messages import IMAGES
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
@@ -30,7 +30,7 @@
         self._replica = replica
         self._clock = clock
         self._on_change = on_change  # called with a machine whose known images changed
-        self._images: Cached = {}
+        self._images: CachedImages = {}
         self._known_members: dict[str, str] = {}  # incarnations of the last view's members
         self._sync_at: dict[str, float] = {}  # new or restarted member -> when to sync it
         siblings.on(IMAGES, self._on_images)
@@ -79,10 +79,10 @@
             machines = list(self._images)
             for start in range(0, len(machines), c.TELL_AT_ONCE):
                 batch = {m: self._images[m] for m in machines[start : start + c.TELL_AT_ONCE]}
-                self._siblings.send(name, IMAGES, pack_cached(batch))
+                self._siblings.send(name, IMAGES, pack_cached_images(batch))
 
     def _on_images(self, _sender: str, payload: bytes) -> None:
-        for machine, older in unpack_cached(payload).items():
+        for machine, older in unpack_cached_images(payload).items():
             if machine in self._replica.machines:
                 # Bindings seen by this node are more recent than those seen before it started.
                 newer = self._images.get(machine, {})
--- a/pulleydeal/credits/messages.py
+++ b/pulleydeal/credits/messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Need:
+class Resources:
     """Resources that one task needs."""
 
     cpus: float
@@ -21,11 +21,11 @@
     epoch: int
     job: str
     index: int
-    need: Need
+    need: Resources
     priority: int
     guaranteed: bool  # within its team's guarantee
     missed_objectives: int  # objectives that its job can no longer meet; fewer goes first
-    waiting_work: float  # less goes first, see `rules.turn`
+    waiting_work: float  # less goes first, see `rules.job_rank`
     tiebreak_time: float  # wall clock, see `rules.QueueRank`; earlier goes first
     gang: bool
     spot: bool
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Free:
+class Release:
     """The leader no longer needs credit, or the capacity held, for a task."""
 
     epoch: int
@@ -56,7 +56,7 @@
     index: int
 
 
-def pack_ask(request: CreditRequest) -> bytes:
+def pack_credit_request(request: CreditRequest) -> bytes:
     p = Packer().u64(request.epoch).text(request.job).u32(request.index)
     p.f64(request.need.cpus).f64(request.need.gpus).f64(request.need.memory)
     p.u8(request.priority).u8(request.guaranteed).u8(request.missed_objectives).f64(
@@ -72,13 +72,13 @@
     )
 
 
-def unpack_ask(data: bytes) -> CreditRequest:
+def unpack_credit_request(data: bytes) -> CreditRequest:
     u = Unpacker(data)
     return CreditRequest(
         u.u64(),
         u.text(),
         u.u32(),
-        Need(u.f64(), u.f64(), u.f64()),
+        Resources(u.f64(), u.f64(), u.f64()),
         u.u8(),
         bool(u.u8()),
         u.u8(),
@@ -111,19 +111,19 @@
     return Hold(u.u64(), u.text(), u.u32(), u.text(), u.f64())
 
 
-def pack_free(free: Free) -> bytes:
-    return Packer().u64(free.epoch).text(free.job).u32(free.index).bytes()
+def pack_release(release: Release) -> bytes:
+    return Packer().u64(release.epoch).text(release.job).u32(release.index).bytes()
 
 
-def unpack_free(data: bytes) -> Free:
+def unpack_release(data: bytes) -> Release:
     u = Unpacker(data)
-    return Free(u.u64(), u.text(), u.u32())
+    return Release(u.u64(), u.text(), u.u32())
 
 
-Cached = dict[str, dict[str, float]]  # machine -> image -> size in GB, oldest image first
+CachedImages = dict[str, dict[str, float]]  # machine -> image -> size in GB, oldest image first
 
 
-def pack_cached(cached: Cached) -> bytes:
+def pack_cached_images(cached: CachedImages) -> bytes:
     p = Packer().u32(len(cached))
     for machine, images in cached.items():
         p.text(machine).u16(len(images))
@@ -132,6 +132,6 @@
     return p.bytes()
 
 
-def unpack_cached(data: bytes) -> Cached:
+def unpack_cached_images(data: bytes) -> CachedImages:
     u = Unpacker(data)
     return {u.text(): {u.text(): u.f64() for _ in range(u.u16())} for _ in range(u.u32())}
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -5,33 +5,33 @@
 from itertools import islice
 
 from pulleydeal import constants as c
-from pulleydeal.credits.messages import CreditRequest, Need
+from pulleydeal.credits.messages import CreditRequest, Resources
 
 TaskId = tuple[str, int]
 ROUNDING_TOLERANCE = 1e-6  # amounts are decimals on the wire: sums have rounding errors
 
 
 @dataclass(slots=True)
-class Room:
+class FreeCapacity:
     """Free capacity of a machine."""
 
     cpus: float
     gpus: float
     memory: float
 
-    def fits(self, need: Need) -> bool:
+    def fits(self, need: Resources) -> bool:
         return (
             need.cpus <= self.cpus + ROUNDING_TOLERANCE
             and need.gpus <= self.gpus + ROUNDING_TOLERANCE
             and need.memory <= self.memory + ROUNDING_TOLERANCE
         )
 
-    def take(self, need: Need) -> None:
+    def subtract(self, need: Resources) -> None:
         self.cpus -= need.cpus
         self.gpus -= need.gpus
         self.memory -= need.memory
 
-    def give(self, need: Need) -> None:
+    def add(self, need: Resources) -> None:
         self.cpus += need.cpus
         self.gpus += need.gpus
         self.memory += need.memory
@@ -44,7 +44,7 @@
     job: str
     index: int
     attempt: int
-    need: Need
+    need: Resources
     priority: int
     lost_work_s: float  # estimate of the task seconds that a stop loses; smaller goes first
     team: str
@@ -60,7 +60,7 @@
     type: str
     zone: str
     spot: bool
-    room: Room
+    room: FreeCapacity
     images: frozenset[str] = frozenset()  # in the machine's cache
     fetching: frozenset[str] = frozenset()  # being downloaded; they share the machine's bandwidth
     reserved: TaskId | None = None  # the machine was emptied for this task and takes no other
@@ -237,14 +237,14 @@
         ]
         if not candidates:
             continue
-        room = Room(credit.room.cpus, credit.room.gpus, credit.room.memory)
+        room = FreeCapacity(credit.room.cpus, credit.room.gpus, credit.room.memory)
         chosen: list[Victim] = []
         for victim in sorted(
             candidates, key=lambda v: (v.would_miss_objective, v.priority, v.lost_work_s)
         ):
             if room.fits(request.need):
                 break
-            room.give(victim.need)
+            room.add(victim.need)
             chosen.append(victim)
         if not room.fits(request.need) or not chosen:
             continue
--- a/pulleydeal/credits/asks.py
+++ b/pulleydeal/credits/requests.py
@@ -1,15 +1,15 @@
 """Builds the credit requests that leaders of jobs send to owners of machines."""
 
-from pulleydeal.credits.messages import CreditRequest, Need
+from pulleydeal.credits.messages import CreditRequest, Resources
 from pulleydeal.rules import QueueRank
 from pulleydeal.store import records as r
 
 
-def resources_needed(spec: r.JobSpec) -> Need:
-    return Need(spec.cpus, spec.gpus, spec.memory)
+def resources_needed(spec: r.JobSpec) -> Resources:
+    return Resources(spec.cpus, spec.gpus, spec.memory)
 
 
-def ask_for(
+def make_credit_request(
     spec: r.JobSpec,
     index: int,
     epoch: int,
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -7,15 +7,15 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
+from pulleydeal.credits.builder import CreditBuilder
 from pulleydeal.credits.images import ImageLocations
-from pulleydeal.credits.making import CreditMaker
 from pulleydeal.credits.messages import (
     CreditRequest,
     Hold,
-    Need,
+    Resources,
     pack_hold,
-    unpack_ask,
-    unpack_free,
+    unpack_credit_request,
+    unpack_release,
 )
 from pulleydeal.credits.queue import (
     Credit,
@@ -48,7 +48,7 @@
 @dataclass(slots=True)
 class ActiveHold:
     machine: str
-    need: Need
+    need: Resources
     until: float
 
 
@@ -84,15 +84,15 @@
         self._reservations: dict[str, tuple[TaskId, float]] = {}
         self._reserved_machine: dict[TaskId, str] = {}
         self._images = ImageLocations(membership, siblings, replica, clock, self._mark_dirty)
-        self._maker = CreditMaker(replica, self._images, objectives, clock, workers.silent)
+        self._builder = CreditBuilder(replica, self._images, objectives, clock, workers.silent)
         self._published: list[Total] = []
         self._published_at = -1e9
         self._unpublished = False
         self._silence_sweep = Sweep(self._all_machines)
         self._credit_sweep = Sweep(self._all_machines)
         self._wake = asyncio.Event()
-        siblings.on(ASK, self._on_ask)
-        siblings.on(FREE, self._on_free)
+        siblings.on(ASK, self._on_credit_request)
+        siblings.on(FREE, self._on_release)
         workers.on_credit_change = self._mark_dirty
         membership.totals = lambda: self._published
         replica.listen(self._on_change)
@@ -121,8 +121,8 @@
         return [*self._workers.machines, *self._queue.credits]
 
     # --- messages -----------------------------------------------------------------------
-    def _on_ask(self, leader: str, payload: bytes) -> None:
-        request = unpack_ask(payload)
+    def _on_credit_request(self, leader: str, payload: bytes) -> None:
+        request = unpack_credit_request(payload)
         if request.epoch != self._membership.epoch:
             return
         now = self._clock.now()
@@ -143,12 +143,12 @@
         if rescan_at == now:
             self._wake.set()
 
-    def _on_free(self, _leader: str, payload: bytes) -> None:
-        free = unpack_free(payload)
-        if free.epoch == self._membership.epoch:
+    def _on_release(self, _leader: str, payload: bytes) -> None:
+        release = unpack_release(payload)
+        if release.epoch == self._membership.epoch:
             with self._lock:
-                self._waiting.pop((free.job, free.index), None)
-                self._release_hold((free.job, free.index))
+                self._waiting.pop((release.job, release.index), None)
+                self._release_hold((release.job, release.index))
 
     def _release_hold(self, key: TaskId) -> None:
         held = self._holds.pop(key, None)
@@ -169,11 +169,11 @@
         asyncio.get_running_loop().call_soon(self._siblings.send, leader, HOLD, pack_hold(hold))
 
     # --- credits --------------------------------------------------------------------------
-    def _credit(self, tracked: TrackedMachine) -> Credit | None:
+    def _compute_credit(self, tracked: TrackedMachine) -> Credit | None:
         keys = self._holds_by_machine.get(tracked.id, ())
         reserved = self._reservations.get(tracked.id)
         held = [(key, self._holds[key].need) for key in keys]
-        return self._maker.credit(tracked, held, reserved[0] if reserved else None)
+        return self._builder.build(tracked, held, reserved[0] if reserved else None)
 
     def _teams_over_guarantee(self) -> set[str]:
         """Teams that use more than their guarantee."""
@@ -201,17 +201,17 @@
         tracked = self._workers.machines.get(machine)
         return waiting is not None and tracked is not None and tracked.zone in waiting.request.zones
 
-    def _renew(self) -> list[Credit]:
+    def _refresh(self) -> list[Credit]:
         """Recomputes the credits of dirty machines and returns the credits that changed.
 
         Recomputing all credits each time took most of a core with some hundred machines.
         """
         changed = []
-        self._maker.begin_round()
+        self._builder.begin_round()
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
             tracked = self._workers.machines.get(machine)
-            credit = self._credit(tracked) if tracked is not None else None
+            credit = self._compute_credit(tracked) if tracked is not None else None
             if credit is None:
                 self._unpublished |= machine in self._queue.credits
                 self._queue.remove(machine)
@@ -236,7 +236,7 @@
             self._mark_due_machines(now)
             self._expire(now)
             self._images.send_due_syncs(now)
-            changed = self._renew()
+            changed = self._refresh()
             self._wake.clear()  # machines marked in the meantime have just been recomputed
             to_stop = self._serve_requests(changed, now)
             if self._unpublished and now - self._published_at >= c.PUBLISH_S:
@@ -256,7 +256,7 @@
         machines = len(self._workers.machines)
         for machine in self._silence_sweep.due(now, c.CREDIT_SWEEP_S):
             tracked = self._workers.machines.get(machine)
-            offers_credit = tracked is not None and self._maker.offers_credit(tracked)
+            offers_credit = tracked is not None and self._builder.offers_credit(tracked)
             if offers_credit != (machine in self._queue.credits):
                 self._dirty.add(machine)
         period_s = max(c.CREDIT_SWEEP_S, machines / c.CREDITS_SWEPT_A_SECOND)
@@ -363,7 +363,7 @@
     def _hold(self, waiting: WaitingRequest, credit: Credit, now: float) -> None:
         request = waiting.request
         key = (request.job, request.index)
-        credit.room.take(request.need)
+        credit.room.subtract(request.need)
         self._unpublished = True
         until = now + (c.GANG_HOLD_S if request.gang else c.HOLD_S)
         held = self._holds[key] = ActiveHold(credit.machine, request.need, until)
--- a/pulleydeal/credits/totals.py
+++ b/pulleydeal/credits/totals.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable, Mapping
 
 from pulleydeal import constants as c
-from pulleydeal.credits.messages import Need
+from pulleydeal.credits.messages import Resources
 from pulleydeal.credits.queue import Credit, TaskId
 from pulleydeal.membership.messages import Images, Total
 
 
-def totals(credits: Iterable[Credit], reserved_needs: Mapping[TaskId, Need]) -> list[Total]:
+def totals(credits: Iterable[Credit], reserved_needs: Mapping[TaskId, Resources]) -> list[Total]:
     """Sums credits by machine type, zone and spot.
 
     `reserved_needs`: resources of the tasks that wait here and for which machines are being
--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -10,8 +10,8 @@
 
 from pulleydeal import constants as c
 from pulleydeal import rules
-from pulleydeal.credits.messages import Need
-from pulleydeal.credits.queue import Room
+from pulleydeal.credits.messages import Resources
+from pulleydeal.credits.queue import FreeCapacity
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
@@ -22,7 +22,7 @@
 log = logging.getLogger("pulleydeal.fleet")
 MachineKind = tuple[str, str, bool]  # type, zone, spot
 KindFilter = Literal["any", "spot", "cheap"]  # cheap: spot, and on-demand that is used anyway
-NO_RESOURCES = Need(0.0, 0.0, 0.0)
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
 @dataclass(slots=True)
@@ -30,10 +30,10 @@
     """A machine as a bin for packing tasks: up, booting, or to be rented."""
 
     kind: MachineKind
-    room: Room
+    room: FreeCapacity
     machine: str = ""
     # Resources of its idle-time tasks; free for jobs that may preempt them
-    preemptible: Need = NO_RESOURCES
+    preemptible: Resources = NO_RESOURCES
     idle_time_only: bool = False  # on-demand, and nothing but idle-time work uses it
 
 
@@ -145,7 +145,7 @@
     def __init__(self, replica: Replica, target_classes: set[str]) -> None:
         self._replica = replica
         self._target_classes = target_classes
-        self._cache: dict[str, tuple[Room, Need]] = {}
+        self._cache: dict[str, tuple[FreeCapacity, Resources]] = {}
         replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
@@ -154,28 +154,28 @@
         elif kind in ("view", "catalog"):  # a full reload of the replica reports "view"
             self._cache.clear()
 
-    def of(self, machine: str, type_: r.MachineType) -> tuple[Room, Need]:
+    def of(self, machine: str, type_: r.MachineType) -> tuple[FreeCapacity, Resources]:
         cached = self._cache.get(machine)
         if cached is None:
             cached = self._cache[machine] = self._compute(machine, type_)
         room, preemptible = cached
-        return Room(room.cpus, room.gpus, room.memory), preemptible
+        return FreeCapacity(room.cpus, room.gpus, room.memory), preemptible
 
-    def _compute(self, machine: str, type_: r.MachineType) -> tuple[Room, Need]:
-        room, preemptible = Room(type_.cpus, type_.gpus, type_.memory), NO_RESOURCES
+    def _compute(self, machine: str, type_: r.MachineType) -> tuple[FreeCapacity, Resources]:
+        room, preemptible = FreeCapacity(type_.cpus, type_.gpus, type_.memory), NO_RESOURCES
         for job_id, _ in self._replica.bound.get(machine, {}):
             spec = self._replica.jobs[job_id].spec
             if spec is None:
                 continue
-            need = Need(spec.cpus, spec.gpus, spec.memory)
-            if rules.idle_time(spec, self._target_classes):
-                preemptible = Need(
+            need = Resources(spec.cpus, spec.gpus, spec.memory)
+            if rules.is_idle_time_work(spec, self._target_classes):
+                preemptible = Resources(
                     preemptible.cpus + need.cpus,
                     preemptible.gpus + need.gpus,
                     preemptible.memory + need.memory,
                 )
             else:
-                room.take(need)
+                room.subtract(need)
         return room, preemptible
 
 
@@ -208,7 +208,7 @@
     IDLE_WORK_WAITS_S, if less than half of its tasks have started. For tasks shorter than that
     only if none has: they gain nothing from a machine that has yet to boot.
     """
-    if not rules.idle_time(spec, target_classes):
+    if not rules.is_idle_time_work(spec, target_classes):
         return False
     if wall - job.since <= max(spec.estimate_s, c.IDLE_WORK_WAITS_S):
         return True
@@ -228,10 +228,10 @@
     for bin_ in plan.bins:
         bin_.idle_time_only = not bin_.kind[2] and _is_unused(plan, bin_)
     for bin_ in shared:
-        bin_.room.take(bin_.preemptible)
+        bin_.room.subtract(bin_.preemptible)
     left = _pack(plan, [job for job in plan.jobs if not _preempts(job)], left)
     for bin_ in shared:
-        bin_.room.give(bin_.preemptible)
+        bin_.room.add(bin_.preemptible)
     if shared:
         plan.next_bin.clear()  # room was given back, so earlier bins may fit again
     for spec in plan.headroom:
@@ -257,7 +257,7 @@
         type_.gpus - bin_.room.gpus,
         type_.memory - bin_.room.memory,
     )
-    return all(abs(amount) < rules.TINY for amount in used)
+    return all(abs(amount) < rules.ROUNDING_TOLERANCE for amount in used)
 
 
 def unused_machines(plan: PlanState) -> set[str]:
@@ -280,7 +280,7 @@
         waiting = spec.tasks - job.done - job.bound
         if waiting <= 0:
             continue
-        used = rules.zones_used([t.machine for _, t in job.bindings()], plan.zone_of)
+        used = rules.count_by_zone([t.machine for _, t in job.bindings()], plan.zone_of)
         price_sensitive = is_price_sensitive(job, spec, plan.target_classes, plan.wall)
         for _ in range(min(left, waiting)):
             left -= 1
@@ -311,20 +311,20 @@
 
     `existing_kinds`, `rented_kinds`: which kinds of machines may be used or rented.
     """
-    need = Need(spec.cpus, spec.gpus, spec.memory)
+    need = Resources(spec.cpus, spec.gpus, spec.memory)
     zones = rules.zones_allowed(spec, used, plan.zones)
     bin_ = _find_bin(plan, spec, need, zones, existing_kinds) or _add_bin(
         plan, spec, need, zones, rented_kinds
     )
     if bin_ is None:
         return False
-    bin_.room.take(need)
+    bin_.room.subtract(need)
     used[bin_.kind[1]] += 1
     return True
 
 
 def _find_bin(
-    plan: PlanState, spec: r.JobSpec, need: Need, zones: list[str], allowed: KindFilter
+    plan: PlanState, spec: r.JobSpec, need: Resources, zones: list[str], allowed: KindFilter
 ) -> Bin | None:
     shape = (need, spec.spot, allowed, tuple(spec.types or ()), tuple(sorted(zones)))
     existing = len(plan.bins)
@@ -345,13 +345,13 @@
 
 
 def _add_bin(
-    plan: PlanState, spec: r.JobSpec, need: Need, zones: list[str], allowed: KindFilter
+    plan: PlanState, spec: r.JobSpec, need: Resources, zones: list[str], allowed: KindFilter
 ) -> Bin | None:
     options: list[tuple[float, int, MachineKind]] = []
     for type_ in plan.types.values():
         if spec.types is not None and type_.name not in spec.types:
             continue
-        if not Room(type_.cpus, type_.gpus, type_.memory).fits(need):
+        if not FreeCapacity(type_.cpus, type_.gpus, type_.memory).fits(need):
             continue
         for zone in (z for z in zones if z in type_.zones and z not in plan.excluded_zones):
             for spot in (False, True):
@@ -370,7 +370,7 @@
         return None
     _, _, kind = min(options)
     type_ = plan.types[kind[0]]
-    bin_ = Bin(kind, Room(type_.cpus, type_.gpus, type_.memory))
+    bin_ = Bin(kind, FreeCapacity(type_.cpus, type_.gpus, type_.memory))
     plan.new_bins.append(bin_)
     plan.zone_machines[kind[1]] += 1
     return bin_
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -52,7 +52,7 @@
         self._membership = membership
         self._store = store
         self._replica = store.replica
-        self._target_classes = rules.aimed(objectives)
+        self._target_classes = rules.classes_with_objective(objectives)
         self._free = plan.FreeResources(store.replica, self._target_classes)
         self._cloud = cloud
         self._teams = teams
--- a/pulleydeal/lateness.py
+++ b/pulleydeal/lateness.py
@@ -21,34 +21,34 @@
     UPKEEP = 2  # fleet plans, machine lists and returns of machines
 
 
-class Lateness:
+class LoopLag:
     """Measures event-loop lag and derives pauses and limits from it."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.late_s = 0.0
+        self.lag_s = 0.0
 
-    async def watch(self) -> None:
+    async def measure(self) -> None:
         """Runs one measurement: a sleep that ends late shows how late everything else was."""
         due = self._clock.now() + c.LATENESS_LOOK_S
         await asyncio.sleep(c.LATENESS_LOOK_S)
-        self.note(self._clock.now() - due)
+        self.record(self._clock.now() - due)
 
-    def note(self, late_s: float) -> None:
+    def record(self, lag_s: float) -> None:
         """Records a measured lag; increases apply at once, decreases at most halve the value.
 
         This way one measurement without lag does not end the deferral.
         """
-        self.late_s = max(late_s, self.late_s / 2, 0.0)
+        self.lag_s = max(lag_s, self.lag_s / 2, 0.0)
 
     def pause_s(self, precedence: Precedence) -> float:
         """How long to defer the next round of a loop; bounded, so that no loop starves."""
-        if precedence is Precedence.PLACEMENT and self.late_s > c.LATE_PLACEMENT_S:
-            return min(self.late_s, c.LATE_PLACEMENT_PAUSE_S)
-        if precedence is Precedence.UPKEEP and self.late_s > c.LATE_UPKEEP_S:
-            return min(2 * self.late_s, c.LATE_PAUSE_MOST_S)
+        if precedence is Precedence.PLACEMENT and self.lag_s > c.LATE_PLACEMENT_S:
+            return min(self.lag_s, c.LATE_PLACEMENT_PAUSE_S)
+        if precedence is Precedence.UPKEEP and self.lag_s > c.LATE_UPKEEP_S:
+            return min(2 * self.lag_s, c.LATE_PAUSE_MOST_S)
         return 0.0
 
-    def users_at_once(self) -> int:
+    def max_user_requests(self) -> int:
         """Limit of concurrent user requests; others are answered 503 with `Retry-After`."""
-        return c.CROWD_AT_ONCE if self.late_s <= c.LATE_USERS_S else c.LATE_CROWD_AT_ONCE
+        return c.CROWD_AT_ONCE if self.lag_s <= c.LATE_USERS_S else c.LATE_CROWD_AT_ONCE
--- a/pulleydeal/membership/service.py
+++ b/pulleydeal/membership/service.py
@@ -35,7 +35,9 @@
     ) -> None:
         self.me = settings.node_name
         self._settings = settings
-        self._limited_teams = {name for name, team in settings.teams.items() if rules.limited(team)}
+        self._limited_teams = {
+            name for name, team in settings.teams.items() if rules.has_limit(team)
+        }
         self._store = store
         self._replica: Replica = store.replica
         self._siblings = siblings
--- a/pulleydeal/placement/bindings.py
+++ b/pulleydeal/placement/bindings.py
@@ -82,7 +82,7 @@
             task.stop = ""
 
     def _limit_allows(self, spec: r.JobSpec, team: Team, count: int, own: set[TaskId]) -> bool:
-        if not rules.limited(team):
+        if not rules.has_limit(team):
             return True  # summing the bindings in flight for each binding has quadratic cost
         used = self._replica.usage().get(spec.team, (0.0, 0.0))
         for key, (name, amount) in self._usage_in_flight().items():
@@ -97,7 +97,7 @@
             for i in range(spec.tasks if spec.spread or spec.one_zone else 0)
             if draft.task(i).machine
         ]
-        used = rules.zones_used(machines_used, self._replica.zone_of)
+        used = rules.count_by_zone(machines_used, self._replica.zone_of)
         for machine in machines.values():
             record = self._replica.machines.get(machine)
             if record is None or (record.record.spot and not spec.spot):
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -8,17 +8,17 @@
 from pulleydeal import constants as c
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.asks import ask_for
-from pulleydeal.credits.messages import Free, pack_ask, pack_free, unpack_hold
+from pulleydeal.credits.messages import Release, pack_credit_request, pack_release, unpack_hold
+from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.decisions import Action, Decision, DecisionLog
 from pulleydeal.membership.messages import ASK, FREE, HOLD
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
 from pulleydeal.placement.bindings import BindingRules
-from pulleydeal.placement.cleaning import JobCleanup
+from pulleydeal.placement.cleanup import JobCleanup
 from pulleydeal.placement.failures import FailureBackoff
-from pulleydeal.placement.parts import OwnerSelector, choose_gang_zone
+from pulleydeal.placement.owner_selection import OwnerSelector, choose_gang_zone
 from pulleydeal.placement.pending import PendingRequest, PendingRequests, TaskId
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Objective, Team
@@ -111,9 +111,8 @@
         self._cleanup.unbind_lost_tasks()
         for job in led:
             if job.is_open and job.spec is not None and job.done >= job.spec.tasks:
-                # Two owners may write the last ends of a chunk at the same moment, so that neither
-                # sees that all tasks are done. Without this the job, and jobs that wait for it,
-                # stayed open.
+                # Two owners may write the last ends of a chunk at the same moment: neither sees
+                # that all tasks are done, and the job, with those that wait for it, stayed open.
                 self._cleanup.finalize(job, Turn.WORK)
             elif not job.is_open and not job.bound:
                 self._cleanup.finalize(job, Turn.LATER)
@@ -132,7 +131,7 @@
         def sort_key(job: Job) -> tuple[object, ...]:
             assert job.spec is not None
             rank = rules.QueueRank(
-                *rules.turn(job, self._objectives, wall, self._policy), rules.starts_by(job)
+                *rules.job_rank(job, self._objectives, wall, self._policy), rules.latest_start(job)
             )
             self._ranks[job.id] = rank
             return (-job.spec.priority, job.id not in guaranteed, *rank, job.id)
@@ -203,8 +202,8 @@
     def _withdraw(self, key: TaskId, notify_owner: bool) -> None:
         pending = self._requests.pop(key)
         if pending is not None and notify_owner:
-            free = Free(self._membership.epoch, *key)
-            self._siblings.send(pending.owner, FREE, pack_free(free))
+            release = Release(self._membership.epoch, *key)
+            self._siblings.send(pending.owner, FREE, pack_release(release))
 
     # --- one job ----------------------------------------------------------------------------
     def _place_job(
@@ -255,10 +254,9 @@
             self._try_gang(job, now)
 
     def _max_requests(self, job: Job, spec: r.JobSpec, now: float) -> int:
-        """Maximum number of a job's tasks that request credit at the same time.
+        """Maximum number of a job's requests; an array that got no credit lately keeps only a few.
 
-        An array that got no credit for a while keeps only a few. Otherwise six large arrays had
-        384 requests, repeated every second and reviewed four times a second, all day long.
+        Otherwise six large arrays had 384 requests, renewed every second and reviewed every 0.25 s.
         """
         granted_at = self._granted_at.setdefault(job.id, now)
         if spec.kind != "array" or now - granted_at < c.VAIN_AFTER_S:
@@ -294,8 +292,10 @@
             pending.sent_at = now
             avoid = self._failures.avoided_machines(job.id, now)
             rank = rules.task_rank(spec, self._ranks[job.id], ahead)
-            request = ask_for(spec, key[1], self._membership.epoch, guaranteed, rank, zones, avoid)
-            self._siblings.send(owner, ASK, pack_ask(request))
+            request = make_credit_request(
+                spec, key[1], self._membership.epoch, guaranteed, rank, zones, avoid
+            )
+            self._siblings.send(owner, ASK, pack_credit_request(request))
 
     def _allowed_zones(self, job: Job, key: TaskId, owners: OwnerSelector, now: float) -> list[str]:
         spec = job.spec
@@ -315,7 +315,7 @@
             for index, p in self._requests.for_job(job.id).items()
             if (job.id, index) != key and p.machine and index not in job.on_machines
         ]
-        return rules.zones_used(machines, self._replica.zone_of)
+        return rules.count_by_zone(machines, self._replica.zone_of)
 
     def _choose_gang_zone(
         self, job: str, spec: r.JobSpec, allowed: list[str], owners: OwnerSelector, now: float
@@ -345,8 +345,8 @@
                 self._granted_at[hold.job] = now
                 pending.hold_until = now + hold.seconds
         if unwanted:
-            free = Free(self._membership.epoch, *key)
-            self._siblings.send(owner, FREE, pack_free(free))
+            release = Release(self._membership.epoch, *key)
+            self._siblings.send(owner, FREE, pack_release(release))
         elif job.spec.kind == "gang":
             self._try_gang(job, now)
         else:
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -14,7 +14,7 @@
 from pulleydeal.store.job import Job
 
 Amount = tuple[float, float]  # cpus, gpus
-TINY = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 
 
 def spread_limit(tasks: int) -> int:
@@ -22,7 +22,7 @@
     return (tasks + 1) // 2
 
 
-def zones_used(machines: list[str], zone_of: dict[str, str]) -> Counter[str]:
+def count_by_zone(machines: list[str], zone_of: dict[str, str]) -> Counter[str]:
     """Counts a job's tasks by zone, including all that are not proved gone."""
     return Counter(zone_of.get(machine, "?") for machine in machines)
 
@@ -43,21 +43,21 @@
     return (a[0] + b[0], a[1] + b[1])
 
 
-def limited(team: Team) -> bool:
+def has_limit(team: Team) -> bool:
     return team.cpus_max > 0 or team.gpus_max > 0
 
 
 def within_limit(team: Team, used: Amount) -> bool:
-    return (team.cpus_max == 0 or used[0] <= team.cpus_max + TINY) and (
-        team.gpus_max == 0 or used[1] <= team.gpus_max + TINY
+    return (team.cpus_max == 0 or used[0] <= team.cpus_max + ROUNDING_TOLERANCE) and (
+        team.gpus_max == 0 or used[1] <= team.gpus_max + ROUNDING_TOLERANCE
     )
 
 
 def within_guarantee(team: Team, used: Amount) -> bool:
     if team.cpus == 0 and team.gpus == 0:
         return False
-    return (team.cpus == 0 or used[0] <= team.cpus + TINY) and (
-        team.gpus == 0 or used[1] <= team.gpus + TINY
+    return (team.cpus == 0 or used[0] <= team.cpus + ROUNDING_TOLERANCE) and (
+        team.gpus == 0 or used[1] <= team.gpus + ROUNDING_TOLERANCE
     )
 
 
@@ -77,7 +77,7 @@
     return guaranteed
 
 
-def turn(
+def job_rank(
     job: Job, objectives: list[Objective], wall: float, policy: Policy | None = None
 ) -> tuple[int, float]:
     """Rank of a job among those of its priority; smaller goes first.
@@ -90,7 +90,7 @@
     jobs are done in time if short ones go first. For services it is the share of copies that are
     bound: each missing copy counts alike, but a service without any copy, as after the loss of a
     zone, serves nobody. Jobs of a pipeline are short and block others, so they go first among
-    equals, ordered by the latest start that meets the deadlines behind them (`starts_by`). An
+    equals, ordered by the latest start that meets the deadlines behind them (`latest_start`). An
     operator's `order` expression replaces the second element.
     """
     spec, record = job.spec, job.record
@@ -122,7 +122,9 @@
         # A late job yields to others, unless it is so small that they lose nothing: otherwise gangs
         # of two tasks waited 38 s behind arrays that belong to later pipelines.
         missed_count = (
-            missed_objectives + (wall > starts_by(job)) if remaining_work_s > c.CHAIN_SMALL_S else 0
+            missed_objectives + (wall > latest_start(job))
+            if remaining_work_s > c.CHAIN_SMALL_S
+            else 0
         )
         return missed_count, c.CHAIN_WORK
     return missed_objectives, 0.0 if spec.kind == "gang" else remaining_work_s
@@ -132,7 +134,7 @@
     """Position in an owner's queue among requests of equal priority; smaller goes first."""
 
     missed_objectives: int  # objectives that the job can no longer meet
-    waiting_work: float  # depends on the kind of job, see `turn`
+    waiting_work: float  # depends on the kind of job, see `job_rank`
     tiebreak_time: float  # wall clock: when the job became ready, or must start by
 
 
@@ -149,7 +151,7 @@
     return rank._replace(waiting_work=ahead / spec.tasks)
 
 
-def can_lose(job: Job, objectives: list[Objective], wall: float) -> bool:
+def stop_would_miss_objective(job: Job, objectives: list[Objective], wall: float) -> bool:
     """Whether stopping a task would make its job miss an objective that can still be met."""
     spec, record = job.spec, job.record
     if spec is None or record is None:
@@ -181,7 +183,7 @@
     }
 
 
-def starts_by(job: Job) -> float:
+def latest_start(job: Job) -> float:
     """Wall clock by which a job should start for its own and later deadlines.
 
     For jobs without such a deadline: when the job became ready.
@@ -189,12 +191,12 @@
     return job.due - job.estimate_s if job.chained and job.due < float("inf") else job.since
 
 
-def aimed(objectives: list[Objective]) -> set[str]:
+def classes_with_objective(objectives: list[Objective]) -> set[str]:
     """Job classes that have an objective for waiting time, completion time or deadline."""
     return {o.klass for o in objectives if o.klass and o.kind in ("wait", "finished", "deadline")}
 
 
-def idle_time(spec: r.JobSpec, aimed_classes: set[str]) -> bool:
+def is_idle_time_work(spec: r.JobSpec, aimed_classes: set[str]) -> bool:
     """Whether it is idle-time work: lowest priority, may use spot, no deadline or objective."""
     return (
         spec.spot
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -10,8 +10,8 @@
 from pulleydeal import constants as c
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.messages import Need
-from pulleydeal.credits.queue import Room
+from pulleydeal.credits.messages import Resources
+from pulleydeal.credits.queue import FreeCapacity
 from pulleydeal.decisions import Action, Decision, DecisionLog
 from pulleydeal.http import MALFORMED, Request, Response, answer
 from pulleydeal.membership.service import Membership
@@ -39,13 +39,13 @@
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team!r}"
-    need = Need(spec.cpus, spec.gpus, spec.memory)
+    need = Resources(spec.cpus, spec.gpus, spec.memory)
     usable = [
         t
         for t in types.values()
         if (spec.types is None or t.name in spec.types)
         and (spec.zone is None or spec.zone in t.zones)
-        and Room(t.cpus, t.gpus, t.memory).fits(need)
+        and FreeCapacity(t.cpus, t.gpus, t.memory).fits(need)
     ]
     if not usable:
         return "a task fits no allowed machine type"
--- a/pulleydeal/timeline.py
+++ b/pulleydeal/timeline.py
@@ -75,7 +75,7 @@
         return None  # truncated, as the last line of a killed node's log may be
 
 
-def life(task: str, lines: Iterable[str]) -> list[Entry]:
+def task_history(task: str, lines: Iterable[str]) -> list[Entry]:
     """The decisions about a task and its job, sorted by the wall clocks of the nodes.
 
     Lines that don't name the job are not parsed, because logs have millions of lines.
@@ -109,7 +109,7 @@
     return found
 
 
-def read(paths: list[Path]) -> Iterable[str]:
+def read_lines(paths: list[Path]) -> Iterable[str]:
     """Yields the lines of several logs. Raises TimelineError."""
     for path in paths:
         try:
@@ -121,7 +121,7 @@
 
 def report(task: str, paths: list[Path]) -> tuple[list[str], bool]:
     """Returns the lines to print and whether attempts overlap. Raises TimelineError."""
-    entries = life(task, read(paths))
+    entries = task_history(task, read_lines(paths))
     if not entries:
         raise TimelineError(f"no decision about {task} in these logs")
     found = overlaps(entries)
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -147,7 +147,7 @@
             if (
                 spec is not None
                 and not task.stop
-                and rules.idle_time(spec, self._objective_classes)
+                and rules.is_idle_time_work(spec, self._objective_classes)
             ):
                 self.stop(job_id, index, task.attempt, RETURNED)
 
--- a/standins/owner.py
+++ b/standins/owner.py
@@ -5,8 +5,14 @@
 
 import msgspec
 
-from pulleydeal.credits.asks import ask_for
-from pulleydeal.credits.messages import Cached, pack_ask, pack_cached, unpack_cached, unpack_hold
+from pulleydeal.credits.messages import (
+    CachedImages,
+    pack_cached_images,
+    pack_credit_request,
+    unpack_cached_images,
+    unpack_hold,
+)
+from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.credits.service import Credits
 from pulleydeal.membership.messages import ASK, HOLD, IMAGES
 from pulleydeal.metrics import Metrics
@@ -45,7 +51,7 @@
 
     def send(self, to: str, kind: int, payload: bytes) -> None:
         if kind == IMAGES:
-            self._owner.told[to] = unpack_cached(payload)
+            self._owner.told[to] = unpack_cached_images(payload)
             return
         assert kind == HOLD
         hold = unpack_hold(payload)
@@ -73,7 +79,7 @@
         self.replica.loaded = True
         self.held: dict[str, str] = {}
         self.stopped: list[str] = []
-        self.told: dict[str, Cached] = {}  # member -> images it was told of
+        self.told: dict[str, CachedImages] = {}  # member -> images it was told of
         self._siblings = _Siblings(self)
         self._workers = _Workers(self)
         type_ = r.MachineType("t4", 8.0, gpus, 8.0, 100.0, 0.5, 4.0, 1.0, 20.0, ZONES)
@@ -121,15 +127,15 @@
     def ask(self, job: r.JobSpec, zones: list[str] | None = None, guaranteed: bool = False) -> None:
         self._put(r.job_key(job.id), r.JobRecord("open", 1, 0.0, job))
         turn = (0, 0.0, self._now)
-        ask = ask_for(job, 0, _Membership.epoch, guaranteed, turn, zones or ZONES, [])
-        self._run(self._handle(ASK, pack_ask(ask)))
+        ask = make_credit_request(job, 0, _Membership.epoch, guaranteed, turn, zones or ZONES, [])
+        self._run(self._handle(ASK, pack_credit_request(ask)))
 
     def join(self, member: str, incarnation: str) -> None:
         members = self.replica.view.members | {"winch-0": "0", member: incarnation}
         self._put(r.VIEW, r.View(3, members))
 
-    def hear_images(self, cached: Cached) -> None:
-        self._run(self._handle(IMAGES, pack_cached(cached)))
+    def hear_images(self, cached: CachedImages) -> None:
+        self._run(self._handle(IMAGES, pack_cached_images(cached)))
 
     async def _handle(self, kind: int, payload: bytes) -> None:
         self._siblings.handlers[kind]("winch-0", payload)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -223,7 +223,7 @@
 
     asyncio.run(run())
     lines = [record.getMessage() for record in caplog.records]
-    entries = timeline.life("j-1/0", lines)
+    entries = timeline.task_history("j-1/0", lines)
     assert [entry.action for entry in entries] == ["start", "end"]
     assert f"token={3 << 24} session=1 seq=2" in entries[0].fields
     assert "node=winch-0 incarnation=1 epoch=3" in entries[0].fields
--- a/tests/test_credits.py
+++ b/tests/test_credits.py
@@ -4,22 +4,22 @@
 
 from pulleydeal.credits.messages import (
     CreditRequest,
-    Free,
     Hold,
-    Need,
-    pack_ask,
-    pack_cached,
-    pack_free,
+    Release,
+    Resources,
+    pack_cached_images,
+    pack_credit_request,
     pack_hold,
-    unpack_ask,
-    unpack_cached,
-    unpack_free,
+    pack_release,
+    unpack_cached_images,
+    unpack_credit_request,
     unpack_hold,
+    unpack_release,
 )
 from pulleydeal.credits.queue import (
     Credit,
     CreditQueue,
-    Room,
+    FreeCapacity,
     Victim,
     WaitingRequest,
     choose_victims,
@@ -39,7 +39,7 @@
         "epoch": 3,
         "job": "j-1",
         "index": 4,
-        "need": Need(1.0, gpus, 1.0),
+        "need": Resources(1.0, gpus, 1.0),
         "priority": priority,
         "guaranteed": False,
         "missed_objectives": 0,
@@ -56,11 +56,11 @@
 
 
 def credit(name: str, gpus: float, **overrides: object) -> Credit:
-    return Credit(name, "t4", "east", False, Room(9.0, gpus, 9.0), **overrides)  # type: ignore[arg-type]
+    return Credit(name, "t4", "east", False, FreeCapacity(9.0, gpus, 9.0), **overrides)  # type: ignore[arg-type]
 
 
 def victim(job: str, priority: int, gpus: float = 1.0, lost_work_s: float = 1.0) -> Victim:
-    return Victim(job, 0, 1, Need(1.0, gpus, 1.0), priority, lost_work_s, "guest")
+    return Victim(job, 0, 1, Resources(1.0, gpus, 1.0), priority, lost_work_s, "guest")
 
 
 def test_the_first_fitting_credit_is_taken_and_a_changed_one_keeps_its_place() -> None:
@@ -197,13 +197,13 @@
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
     message = request(types=["t4"], avoid=["vm-1"], guaranteed=True)
-    assert unpack_ask(pack_ask(message)) == message
+    assert unpack_credit_request(pack_credit_request(message)) == message
     hold = Hold(3, "j-1", 4, "vm-000002", 2.5)
     assert unpack_hold(pack_hold(hold)) == hold
-    free = Free(3, "j-1", 4)
-    assert unpack_free(pack_free(free)) == free
+    free = Release(3, "j-1", 4)
+    assert unpack_release(pack_release(free)) == free
     cached = {"vm-1": {"a": 1.5, "b": 2.0}, "vm-2": {}}
-    assert unpack_cached(pack_cached(cached)) == cached
+    assert unpack_cached_images(pack_cached_images(cached)) == cached
     beat = Beat(9, [Total("t4", "east", True, 1.0, 2.0, 3.0, 1.0, 2.0, IMAGES, IMAGES)], ["j-7"])
     assert unpack_beat(pack_beat(beat)) == beat
 
@@ -214,7 +214,7 @@
     assert totals([busy], {})[0].stoppable == {"img": (10.0, 4.0)}
     # Some of its victims have already ended.
     reserved = credit("a", 2.0, images=has, reserved=("j-1", 4))
-    (total,) = totals([reserved], {("j-1", 4): Need(1.0, 4.0, 1.0)})
+    (total,) = totals([reserved], {("j-1", 4): Resources(1.0, 4.0, 1.0)})
     assert (total.gpus, total.largest_gpus, total.images) == (0.0, 0.0, {})
     assert total.stoppable == {"img": (1.0, 4.0)}
     assert totals([reserved], {})[0].stoppable == {}  # the task no longer waits here
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -12,19 +12,19 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import SystemClock
 from pulleydeal.http import Client, Request, Response, Server, answer
-from pulleydeal.lateness import Lateness, Precedence
+from pulleydeal.lateness import LoopLag, Precedence
 from standins.town import LOCAL, free_port, job
 
 PERIOD_S, RUN_SHARE = 0.2, 0.1  # a throttled node runs for this share of each period
 
 
 def test_loops_of_low_precedence_are_deferred_first_and_none_starves() -> None:
-    lateness = Lateness(SystemClock())
+    lateness = LoopLag(SystemClock())
     precedences = (Precedence.LEASES, Precedence.PLACEMENT, Precedence.UPKEEP)
 
     def pauses(late_s: float) -> list[bool]:
-        lateness.late_s = 0.0
-        lateness.note(late_s)
+        lateness.lag_s = 0.0
+        lateness.record(late_s)
         return [lateness.pause_s(precedence) > 0 for precedence in precedences]
 
     assert pauses(0.1) == [False, False, False]
@@ -34,13 +34,13 @@
     assert lateness.pause_s(Precedence.PLACEMENT) <= c.LATE_PLACEMENT_PAUSE_S
     assert lateness.pause_s(Precedence.UPKEEP) <= c.LATE_PAUSE_MOST_S < c.ASK_TTL_S
     for _ in range(10):
-        lateness.note(-0.001)
+        lateness.record(-0.001)
     assert not any(map(lateness.pause_s, precedences))
 
 
 def test_a_late_node_refuses_most_users_with_503_and_answers_some() -> None:
-    lateness = Lateness(SystemClock())
-    lateness.note(3.0)
+    lateness = LoopLag(SystemClock())
+    lateness.record(3.0)
     release = asyncio.Event()
 
     async def slow_handler(_: Request) -> Response:
@@ -55,7 +55,7 @@
 
     async def run() -> tuple[list[int], int]:
         address = f"{LOCAL}:{free_port()}"
-        server = Server(slow_handler, 100, "/submissions", lateness.users_at_once)
+        server = Server(slow_handler, 100, "/submissions", lateness.max_user_requests)
         await server.start(address)
         user_requests = [asyncio.ensure_future(ask(address, "/submissions/j-1")) for _ in range(10)]
         worker = asyncio.ensure_future(ask(address, "/checkin"))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -4,7 +4,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.membership.messages import Total
-from pulleydeal.placement.parts import OwnerSelector, choose_gang_zone
+from pulleydeal.placement.owner_selection import OwnerSelector, choose_gang_zone
 from pulleydeal.placement.pending import PendingRequest
 from pulleydeal.store import records as r
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -140,14 +140,16 @@
     objectives = [Objective("wait", "c", 20.0)]
     wanted = sorted(
         cluster.replica.jobs.values(),
-        key=lambda job: (*rules.turn(job, objectives, 5.0), rules.starts_by(job)),
+        key=lambda job: (*rules.job_rank(job, objectives, 5.0), rules.latest_start(job)),
     )
     assert [job.id for job in wanted] == ["j-3", "j-4", "j-1", "j-2", "j-5"]
     # Late, but with so little work that it may still go first.
-    assert rules.turn(cluster.job("j-3"), objectives, 71.0)[0] == 0
+    assert rules.job_rank(cluster.job("j-3"), objectives, 71.0)[0] == 0
     cluster.submit("j-6", estimate_s=500.0)
     cluster.submit("j-7", "j-6", priority=2, deadline_s=400.0, at=10.0)
-    assert rules.turn(cluster.job("j-6"), [], 11.0)[0] == 1  # its dependent can't meet the deadline
+    assert (
+        rules.job_rank(cluster.job("j-6"), [], 11.0)[0] == 1
+    )  # its dependent can't meet the deadline
 
 
 def test_job_close_to_an_objective_it_can_still_meet_is_not_preempted() -> None:
@@ -157,7 +159,7 @@
     at_risk = [
         wall
         for wall in range(0, 400, 10)
-        if rules.can_lose(cluster.job("j-1"), objectives, float(wall))
+        if rules.stop_would_miss_objective(cluster.job("j-1"), objectives, float(wall))
     ]
     assert at_risk == [*range(20, 80, 10), *range(130, 190, 10), *range(230, 290, 10)]
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -3,8 +3,8 @@
 from collections import Counter
 
 from pulleydeal import rules
-from pulleydeal.credits.messages import Need
-from pulleydeal.credits.queue import Room
+from pulleydeal.credits.messages import Resources
+from pulleydeal.credits.queue import FreeCapacity
 from pulleydeal.fleet import plan
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
@@ -45,7 +45,7 @@
 
 
 def test_waiting_tasks_use_existing_room_before_anything_is_rented() -> None:
-    existing = plan.Bin(("t4", "east", False), Room(8.0, 2.0, 64.0), "vm-1")
+    existing = plan.Bin(("t4", "east", False), FreeCapacity(8.0, 2.0, 64.0), "vm-1")
     needed = plan.plan_rentals(plan_state(job("j-1", 3), bins=[existing]))
     assert needed == Counter({("t4", "west", False): 1})
 
@@ -91,7 +91,7 @@
 def test_spread_counts_all_tasks_not_proved_gone() -> None:
     spec = job("j-1", 5, spread=True).spec
     assert spec is not None
-    used = rules.zones_used(["a", "b", "c"], {"a": "east", "b": "east", "c": "east"})
+    used = rules.count_by_zone(["a", "b", "c"], {"a": "east", "b": "east", "c": "east"})
     assert rules.zones_allowed(spec, used, ZONES) == ["west"]
     assert rules.spread_limit(5) == 3 and rules.spread_limit(1) == 1
 
@@ -113,27 +113,27 @@
         Objective("guarantee", "", 1.0),
     ]
     array = job("j-1", 4, estimate_s=30.0)
-    assert rules.turn(array, objectives, 60.0) == (0, 120.0)
-    assert rules.turn(array, objectives, 80.0) == (1, 120.0)
+    assert rules.job_rank(array, objectives, 60.0) == (0, 120.0)
+    assert rules.job_rank(array, objectives, 80.0) == (1, 120.0)
     array.last_stop = "m"  # it has begun; tests/test_waiting_turns.py has the other case
-    assert rules.turn(array, objectives, 180.0) == (2, 120.0)
+    assert rules.job_rank(array, objectives, 180.0) == (2, 120.0)
     due = job("j-2", deadline_s=50.0, estimate_s=30.0)
-    assert rules.turn(due, [Objective("deadline", "c", None, 2.0)], 60.0) == (0, 30.0)
-    assert rules.turn(due, [Objective("deadline", "c", None, 1.0)], 60.0) == (1, 30.0)
+    assert rules.job_rank(due, [Objective("deadline", "c", None, 2.0)], 60.0) == (0, 30.0)
+    assert rules.job_rank(due, [Objective("deadline", "c", None, 1.0)], 60.0) == (1, 30.0)
     gang = job("j-3", 2, kind="gang", estimate_s=30.0)
-    assert rules.turn(gang, [Objective("wait", "c", 20.0)], 21.0) == (1, 0.0)
+    assert rules.job_rank(gang, [Objective("wait", "c", 20.0)], 21.0) == (1, 0.0)
     service = job("j-4", kind="service")
-    assert rules.turn(service, [Objective("wait", "c", 20.0)], 21.0) == (0, 0.0)
+    assert rules.job_rank(service, [Objective("wait", "c", 20.0)], 21.0) == (0, 0.0)
 
 
 def test_headroom_for_jobs_that_may_use_spot_is_not_kept_on_on_demand_machines() -> None:
-    idle = plan.Bin(("t4", "east", False), Room(8.0, 2.0, 64.0), "vm-1")
+    idle = plan.Bin(("t4", "east", False), FreeCapacity(8.0, 2.0, 64.0), "vm-1")
     state = plan_state(bins=[idle])
     spare = job("j-1", 2, spot=True).spec
     assert spare is not None
     state.headroom = [spare]
     assert plan.plan_rentals(state) == Counter({("t4", "west", True): 1})
-    assert idle.room == Room(8.0, 2.0, 64.0)  # so the machine can be returned
+    assert idle.room == FreeCapacity(8.0, 2.0, 64.0)  # so the machine can be returned
     without_spot = plan_state(bins=[idle], unavailable={("t4", zone, True) for zone in ZONES})
     without_spot.headroom = [spare]
     assert plan.plan_rentals(without_spot) == Counter()
@@ -179,11 +179,11 @@
 def test_resources_of_idle_time_tasks_are_free_for_jobs_that_may_preempt_them() -> None:
     def make_bins(*full_bins: bool) -> list[plan.Bin]:
         """Machines that idle-time tasks use wholly or not at all; the first is a spot machine."""
-        used = Need(8.0, 2.0, 64.0)
+        used = Resources(8.0, 2.0, 64.0)
         return [
             plan.Bin(
                 ("t4", "east", i == 0),
-                Room(8.0, 2.0, 64.0),
+                FreeCapacity(8.0, 2.0, 64.0),
                 f"vm-{i}",
                 used if full else plan.NO_RESOURCES,
             )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -76,10 +76,10 @@
     ("name", "unpack", "pack"),
     [
         ("BEAT", membership_messages.unpack_beat, membership_messages.pack_beat),
-        ("ASK", credit_messages.unpack_ask, credit_messages.pack_ask),
+        ("ASK", credit_messages.unpack_credit_request, credit_messages.pack_credit_request),
         ("HOLD", credit_messages.unpack_hold, credit_messages.pack_hold),
-        ("FREE", credit_messages.unpack_free, credit_messages.pack_free),
-        ("IMAGES", credit_messages.unpack_cached, credit_messages.pack_cached),
+        ("FREE", credit_messages.unpack_release, credit_messages.pack_release),
+        ("IMAGES", credit_messages.unpack_cached_images, credit_messages.pack_cached_images),
     ],
 )
 def test_sibling_messages_are_the_same_bytes_in_both_versions(
--- a/tests/test_waiting_turns.py
+++ b/tests/test_waiting_turns.py
@@ -4,8 +4,8 @@
 
 from pulleydeal import constants as c
 from pulleydeal import rules
-from pulleydeal.credits.asks import ask_for
 from pulleydeal.credits.queue import WaitingRequest, service_order
+from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.placement.failures import FailureBackoff
 from pulleydeal.placement.pending import PendingRequest, PendingRequests
 from pulleydeal.settings import Objective
@@ -49,7 +49,7 @@
         record = r.JobRecord("open", 40, 0.0, spec)
         job = Job("j-1", 1, record, spec, **tasks)  # type: ignore[arg-type]
         objectives = [Objective("finished", "c", within_s=450.0)]
-        return rules.turn(job, objectives, waited_s)
+        return rules.job_rank(job, objectives, waited_s)
 
     short_job_work = 15.0  # waiting work of a short job
     assert job_rank(c.BEGIN_S) == (0, 12000.0)
@@ -58,7 +58,7 @@
     assert job_rank(300.0, on_machines={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
     assert job_rank(300.0, last_stop="m") == (1, 40 * 300.0)  # it had started and was preempted
     assert (
-        rules.turn(Job("j-1", 1, r.JobRecord("open", 40, 0.0, spec), spec), [], 300.0)[1]
+        rules.job_rank(Job("j-1", 1, r.JobRecord("open", 40, 0.0, spec), spec), [], 300.0)[1]
         > short_job_work
     )
 
@@ -69,7 +69,9 @@
     job_rank = rules.QueueRank(0, running / copies, at)
     return [
         WaitingRequest(
-            ask_for(spec, index, 3, False, rules.task_rank(spec, job_rank, index), ["east"], []),
+            make_credit_request(
+                spec, index, 3, False, rules.task_rank(spec, job_rank, index), ["east"], []
+            ),
             "winch-0",
             1.0,
             9.0,
