--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -1,7 +1,7 @@
-"""The operators' further meetings, over whole nodes: each alone, and with one other trouble.
+"""Coincidences of faults and operations on whole nodes, each alone and with one more fault.
 
-A day's moments count from T, when what it is about begins; an overlap's too. A day in which the
-meeting did not happen shows nothing, so each says how often it has to.
+Times such as `T+1.5` are relative to the moment at which the tested situation begins. A run in
+which the situation did not arise proves nothing, so each case sets how often it must at least.
 """
 
 from dataclasses import dataclass, field
@@ -11,21 +11,21 @@
 
 from standins.scenario import Scenario, play
 
-T = 60.0
-OVER_S = 60.0  # after T: by then all troubles are over
-END_S = 150.0  # after T
+START_S = 60.0
+FAULTS_OVER_S = 60.0  # after START_S: all faults end
+END_S = 150.0  # after START_S: the run ends
 
 
 @dataclass(frozen=True)
-class Day:
-    lines: str  # moments such as `T+1.5`, or from the beginning
-    least: dict[str, int] = field(default_factory=dict)  # what happened at least so often
-    most: dict[str, int] = field(default_factory=dict)  # and at most
+class Case:
+    lines: str  # events; times are relative to START_S (`T+1.5`), or to the start of the run
+    at_least: dict[str, int] = field(default_factory=dict)  # counter of `occurrences` -> minimum
+    at_most: dict[str, int] = field(default_factory=dict)  # counter of `occurrences` -> maximum
     zones: str = "features on"
     overlaps: tuple[str, ...] = ("", "the leader is back at once", "the state service is slow")
 
 
-# One other trouble, beside the day's own.
+# Additional faults, beside those of the case itself.
 OVERLAPS = {
     "": "",
     "no zones": "",
@@ -46,7 +46,7 @@
     "reports wait for the leader": "T-15 late_reports 0.6 next\nT+0.4 crash winch-0 0.2\n"
     "T+9 late_reports 0",
 }
-USUAL = """
+USUAL_JOBS = """
 0 capacity 10
 1 submit j-1 standing 4 0
 1 submit j-2 batch 8 50
@@ -55,9 +55,9 @@
 2 submit j-5 gang 2 900
 2 submit j-6 standing 3 0
 """
-DAYS = {
-    "close looks": Day(
-        USUAL
+CASES = {
+    "close looks": Case(
+        USUAL_JOBS
         + """
         20 close_looks 0.2
         45 flow j-100 2 40 0.2 batch 1 4
@@ -81,9 +81,10 @@
             "a zone is cut off",
         ),
     ),
-    # Bindings, ends, stops, rentals, acceptances and cancellations, while others read them.
-    "answers lost": Day(
-        USUAL
+    # Lost answers to commits of bindings, ends, stops, rentals, acceptances and cancellations,
+    # while users read the jobs concerned.
+    "answers lost": Case(
+        USUAL_JOBS
         + """
         30 close_looks 0.1
         T-20 state late 0.4 at_once
@@ -109,8 +110,8 @@
             "machines hang",
         ),
     ),
-    # Team `small` has four cards. What is cancelled counts until it is proved gone.
-    "at the limit": Day(
+    # Team `small` has a quota of four GPUs. Cancelled tasks count until they are proved gone.
+    "at the limit": Case(
         """
         0 capacity 8
         1 submit j-1 batch 1 900 crew=small
@@ -138,7 +139,7 @@
             "a node stands still",
         ),
     ),
-    "work changes hands": Day(
+    "work changes hands": Case(
         """
         0 capacity 10
         1 submit j-1 batch 8 900
@@ -186,7 +187,7 @@
             "transactions come late",
         ),
     ),
-    "machines up at once": Day(
+    "machines up at once": Case(
         """
         0 capacity 12
         0 boots 0.06
@@ -214,8 +215,8 @@
             "machines hang",
         ),
     ),
-    "reports kept for the next leader": Day(
-        USUAL
+    "reports kept for the next leader": Case(
+        USUAL_JOBS
         + """
         T-20 late_reports 0.6 next
         T-12 reboot west 0.4 afresh 0.4
@@ -240,7 +241,7 @@
             "answers are lost",
         ),
     ),
-    "four jobs a second": Day(
+    "four jobs a second": Case(
         """
         0 capacity 10
         1 submit j-1 standing 4 0
@@ -256,7 +257,7 @@
             "transactions come late",
         ),
     ),
-    "at the end of the last task": Day(
+    "at the end of the last task": Case(
         """
         0 capacity 10
         1 submit j-1 standing 4 0
@@ -278,8 +279,8 @@
             "a node is refused",
         ),
     ),
-    "mute machines": Day(
-        USUAL
+    "mute machines": Case(
+        USUAL_JOBS
         + """
         T-5 crowd j-20 6 batch 4 30
         T+0 mute all 0.5
@@ -289,7 +290,8 @@
         T+50 heal
         """,
         {"jobs": 18, "lost": 1},
-        # What ran there as it began; with credit from machines that nobody hears, 61 to 74.
+        # The tasks that ran there at START_S. When credit of machines that do not report was still
+        # spent, 61 to 74 tasks were lost.
         {"lost": 35},
         overlaps=(
             "",
@@ -300,8 +302,8 @@
             "answers are lost",
         ),
     ),
-    "refused as jobs are cancelled, then down": Day(
-        USUAL
+    "refused as jobs are cancelled, then down": Case(
+        USUAL_JOBS
         + """
         10 crowd j-20 8 batch 2 900
         T+0 state refuse winch-1
@@ -323,8 +325,8 @@
             "orders are held",
         ),
     ),
-    "a zone is cut for longer than a lease": Day(
-        USUAL
+    "a zone is cut for longer than a lease": Case(
+        USUAL_JOBS
         + """
         10 crowd j-20 8 batch 2 900
         T-0.3 cancel j-20
@@ -345,8 +347,8 @@
             "answers are lost",
         ),
     ),
-    "all are away for longer than a lease": Day(
-        USUAL
+    "all are away for longer than a lease": Case(
+        USUAL_JOBS
         + """
         10 crowd j-20 8 batch 2 900
         T-0.1 cancel j-20
@@ -359,8 +361,8 @@
         {"confirmed": 4, "lost": 10},
         overlaps=("", "no zones", "machines hang", "transactions come late", "orders are held"),
     ),
-    "ten leaders in two minutes": Day(
-        USUAL
+    "ten leaders in two minutes": Case(
+        USUAL_JOBS
         + """
         10 crowd j-20 10 batch 2 900
         T-50 crash winch-0 0.3
@@ -384,7 +386,7 @@
         {"confirmed": 4},
         overlaps=("", "no zones", "answers are lost", "machines hear nothing", "orders are held"),
     ),
-    "jobs of one zone lose machines": Day(
+    "jobs of one zone lose machines": Case(
         """
         0 capacity 4
         0 link 0.1
@@ -402,8 +404,8 @@
         {"jobs": 22},
         overlaps=("", "no zones", "the leader is back at once", "machines hear nothing"),
     ),
-    "odd requests": Day(
-        USUAL
+    "odd requests": Case(
+        USUAL_JOBS
         + """
         T-30 odd_requests
         T-5 flow j-100 2 20 0.2 batch 1 4
@@ -423,29 +425,29 @@
 }
 
 
-def text(day: Day, overlap: str) -> str:
-    lines = [] if overlap == "no zones" else [f"0 {day.zones}"]
-    lines += [*day.lines.splitlines(), *OVERLAPS[overlap].splitlines()]
+def text(case: Case, overlap: str) -> str:
+    lines = [] if overlap == "no zones" else [f"0 {case.zones}"]
+    lines += [*case.lines.splitlines(), *OVERLAPS[overlap].splitlines()]
     events: list[tuple[float, str]] = []
     for line in filter(None, map(str.strip, lines)):
         at, _, words = line.partition(" ")
-        events.append((T + float(at[1:]) if at[0] == "T" else float(at), words))
-    over = T + OVER_S
-    ends = ("state up", "state refuse none", "state late 0", "heal", "late_reports 0")
-    events += [(over, line) for line in ends]
-    events += [(over + 1, "answers"), (T + END_S, "poll j-1")]
+        events.append((START_S + float(at[1:]) if at[0] == "T" else float(at), words))
+    faults_over = START_S + FAULTS_OVER_S
+    final_events = ("state up", "state refuse none", "state late 0", "heal", "late_reports 0")
+    events += [(faults_over, line) for line in final_events]
+    events += [(faults_over + 1, "answers"), (START_S + END_S, "poll j-1")]
     events.sort(key=lambda event: event[0])
     return "".join(f"{at:.2f} {words}\n" for at, words in events)
 
 
-def happened(played: Scenario) -> dict[str, int]:
-    rules = played.rules
+def occurrences(scenario: Scenario) -> dict[str, int]:
+    rules = scenario.rules
     return {
-        "close_looks": played.close_looks,
-        "called_off": played.called_off,
-        "reports_kept": played.reports_kept,
-        "answers_lost": played.state.answers_lost,
-        "late_applied": played.state.late_applied,
+        "close_looks": scenario.close_looks,
+        "called_off": scenario.called_off,
+        "reports_kept": scenario.reports_kept,
+        "answers_lost": scenario.state.answers_lost,
+        "late_applied": scenario.state.late_applied,
         "confirmed": sum(at < 1e9 for at in rules.cancelled.values()),
         "lost": rules.lost,
         "unfit": len(rules.unfit),
@@ -453,29 +455,29 @@
     }
 
 
-PLAYS = [(name, overlap) for name, day in DAYS.items() for overlap in day.overlaps]
+RUNS = [(name, overlap) for name, case in CASES.items() for overlap in case.overlaps]
 
 
-@pytest.mark.parametrize(("name", "overlap"), PLAYS, ids=["-".join(p) for p in PLAYS])
-def test_meeting(name: str, overlap: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("name", "overlap"), RUNS, ids=["-".join(p) for p in RUNS])
+def test_coincident_faults(name: str, overlap: str, tmp_path: Path) -> None:
     path = tmp_path / "day.txt"
-    path.write_text(text(DAYS[name], overlap))
-    played = play(path, 1)
-    assert played.rules.broken == []
-    assert played.failures == []
-    assert played.state.overtaken == []
-    found = happened(played)
-    assert {k: found[k] for k, n in DAYS[name].least.items() if found[k] < n} == {}
-    assert {k: found[k] for k, n in DAYS[name].most.items() if found[k] > n} == {}
-    left = [job for job in played.rules.uploads if not ended(played, job)]
-    assert left == []
+    path.write_text(text(CASES[name], overlap))
+    scenario = play(path, 1)
+    assert scenario.rules.broken == []
+    assert scenario.failures == []
+    assert scenario.state.overtaken == []
+    counts = occurrences(scenario)
+    assert {k: counts[k] for k, n in CASES[name].at_least.items() if counts[k] < n} == {}
+    assert {k: counts[k] for k, n in CASES[name].at_most.items() if counts[k] > n} == {}
+    unfinished = [job for job in scenario.rules.uploads if not is_settled(scenario, job)]
+    assert unfinished == []
 
 
-def ended(played: Scenario, job: str) -> bool:
-    """Over, or as services and long jobs are by then: all its tasks run."""
-    rules, results = played.rules, played._world.results
+def is_settled(scenario: Scenario, job: str) -> bool:
+    """Whether the job is over, or is a service or long job with all its tasks running."""
+    rules, results = scenario.rules, scenario._world.results
     if not rules.accepted(job) or rules.asked_to_cancel(job) or rules.done(job, results):
         return True
     body = rules.uploads[job]
-    runs_on = body["haul"] == "standing" or body["haul_s"] > OVER_S + END_S
-    return runs_on and all(rules.places.get(f"{job}/{i}") for i in range(body["lifts"]))
+    keeps_running = body["haul"] == "standing" or body["haul_s"] > FAULTS_OVER_S + END_S
+    return keeps_running and all(rules.places.get(f"{job}/{i}") for i in range(body["lifts"]))
