--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the outside systems, written from the protocol, and a network for them.
+"""Simulated external systems, written from the protocol, and a simulated network.
 
-They serve the tests (under a virtual clock, with late and lost messages) and the README's
-five-minute start (on real sockets). Nothing of the service imports them.
+They are used by the tests (on a virtual clock, with late and lost messages) and by the demo and
+the experiments (on real sockets). The package `pulleydeal` does not import them.
 """
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,4 +1,4 @@
-"""A cloud by PROTOCOL: catalogue, rentals by name, returns, a lagging list, outages."""
+"""A simulated cloud: catalogue, idempotent rentals, returns, a lagging list, outages."""
 
 import asyncio
 import json
@@ -9,43 +9,46 @@
 from pulleydeal.clock import Clock
 from pulleydeal.http import Request, Response, Server, answer
 
-Started = Callable[[str, dict[str, Any], str, bool], Any]  # block, type, yard, loaners
+StartWorker = Callable[[str, dict[str, Any], str, bool], Any]  # machine, type, zone, spot
 
 
 class CloudService:
+    """Rents machines by PROTOCOL, and starts and stops their workers through callbacks."""
+
     def __init__(
         self,
-        types: list[dict[str, Any]],
+        machine_types: list[dict[str, Any]],
         capacity: dict[tuple[str, bool], int],
         clock: Clock,
-        start: Started,
+        start: StartWorker,
         stop: Callable[[str], None],
-        lag_s: float = 5.0,
+        list_lag_s: float = 5.0,
     ) -> None:
-        self._types = {t["name"]: t for t in types}
-        self.capacity = capacity  # (yard, loaners) -> machines
+        self._machine_types = {machine_type["name"]: machine_type for machine_type in machine_types}
+        self.capacity = capacity  # (zone, spot) -> machines left
         self._clock = clock
-        self._start, self._stop = start, stop
-        self._lag_s = lag_s
+        self._start_worker, self._stop_worker = start, stop
+        self._list_lag_s = list_lag_s
         self.blocks: dict[str, dict[str, Any]] = {}
         self._history: list[tuple[float, list[dict[str, Any]]]] = [(clock.now(), [])]
-        self._answers: dict[str, list[str]] = {}
+        self._rentals: dict[str, list[str]] = {}
         self._serial = 0
         self.down = False
-        self.boots = 1.0  # times ready_s that machines rented from now on take; 0: they never come
+        self.boots = 1.0  # factor on ready_s of new machines; 0: they never come up
         self.server = Server(self.handle, 1000)
 
     async def run(self, address: str) -> None:
         await self.server.start(address)
         while True:
             await asyncio.sleep(0.5)
-            self._snap()
+            self._take_snapshot()
 
-    def _snap(self) -> None:
+    def _take_snapshot(self) -> None:
         now = self._clock.now()
         shown = [
-            {k: v for k, v in b.items() if not k.startswith("_")} | {"held_s": now - b["_since"]}
-            for b in self.blocks.values()
+            {k: v for k, v in entry.items() if not k.startswith("_")}
+            | {"held_s": now - entry["_since"]}
+            for entry in self.blocks.values()
         ]
         self._history.append((now, shown))
         del self._history[:-200]
@@ -56,80 +59,80 @@
         await asyncio.sleep(0.25)
         url = urlsplit(request.path)
         if url.path == "/catalog":
-            return answer(200, {"rig_models": list(self._types.values())})
+            return answer(200, {"rig_models": list(self._machine_types.values())})
         if url.path == "/rentals" and request.method == "GET":
             return self._list({k: v[0] for k, v in parse_qs(url.query).items()})
         body = json.loads(request.body)
         if url.path == "/rentals/return":
-            for block in body["blocks"]:
-                self.remove(block)
+            for machine in body["blocks"]:
+                self.remove(machine)
             return answer(200, {})
         return self._rent(body)
 
-    def remove(self, block: str) -> None:
-        entry = self.blocks.pop(block, None)
+    def remove(self, machine: str) -> None:
+        entry = self.blocks.pop(machine, None)
         if entry is not None:
             self.capacity[(entry["yard"], entry["loaners"])] += 1
-            self._stop(block)
+            self._stop_worker(machine)
 
-    def fail(self, block: str) -> None:
-        """It stopped on its own; listed as such until it is deleted."""
-        if block in self.blocks:
-            self.blocks[block]["tension"] = "failed"
+    def fail(self, machine: str) -> None:
+        """Marks a machine as failed; it stays listed until it is returned."""
+        if machine in self.blocks:
+            self.blocks[machine]["tension"] = "failed"
 
     def _list(self, query: dict[str, str]) -> Response:
-        then = self._clock.now() - self._lag_s
-        shown = next((s for at, s in reversed(self._history) if at <= then), [])
+        listed_at = self._clock.now() - self._list_lag_s
+        shown = next((s for at, s in reversed(self._history) if at <= listed_at), [])
         after, limit = query.get("after", ""), int(query.get("limit", 500))
-        rest = [b for b in shown if b["name_id"] > after]
-        return answer(200, {"blocks": rest[:limit], "truncated": len(rest) > limit})
+        remaining = [entry for entry in shown if entry["name_id"] > after]
+        return answer(200, {"blocks": remaining[:limit], "truncated": len(remaining) > limit})
 
     def _rent(self, body: dict[str, Any]) -> Response:
-        if body["hire"] in self._answers:
-            return answer(200, {"blocks": self._answers[body["hire"]]})
-        place = (body["yard"], body["loaners"])
-        count = min(body["count"], self.capacity.get(place, 0))
+        if body["hire"] in self._rentals:
+            return answer(200, {"blocks": self._rentals[body["hire"]]})
+        pool = (body["yard"], body["loaners"])
+        count = min(body["count"], self.capacity.get(pool, 0))
         if count == 0:
             return answer(503, {"error": "no capacity"})
-        self.capacity[place] -= count
-        names = [self.add(body["rig_model"], *place) for _ in range(count)]
-        self._answers[body["hire"]] = names
-        return answer(200, {"blocks": names})
-
-    def add(self, type_: str, yard: str, loaners: bool) -> str:
-        block = f"vm-{self._serial + 1:06d}"
-        self._put(block, type_, yard, loaners)
+        self.capacity[pool] -= count
+        machines = [self.add(body["rig_model"], *pool) for _ in range(count)]
+        self._rentals[body["hire"]] = machines
+        return answer(200, {"blocks": machines})
+
+    def add(self, machine_type: str, zone: str, spot: bool) -> str:
+        machine = f"vm-{self._serial + 1:06d}"
+        self._add_entry(machine, machine_type, zone, spot)
         if self.boots:
-            ready_s = self._types[type_]["ready_s"] * self.boots
-            asyncio.get_running_loop().call_later(ready_s, self._boot, block)
-        return block
-
-    def place(self, block: str, type_: str, yard: str, loaners: bool) -> None:
-        """A machine that is up already."""
-        self._put(block, type_, yard, loaners)
-        self._boot(block)
-
-    def hold(self, block: str, type_: str, yard: str, loaners: bool) -> None:
-        """A machine that runs already and whose worker is started elsewhere."""
-        self._put(block, type_, yard, loaners)
-        self.blocks[block]["tension"] = "running"
-
-    def _put(self, block: str, type_: str, yard: str, loaners: bool) -> None:
-        self._serial = max(self._serial, int(block.rpartition("-")[2]))
-        self.blocks[block] = {
-            "name_id": block,
+            ready_s = self._machine_types[machine_type]["ready_s"] * self.boots
+            asyncio.get_running_loop().call_later(ready_s, self._finish_boot, machine)
+        return machine
+
+    def place(self, machine: str, machine_type: str, zone: str, spot: bool) -> None:
+        """Adds a machine that boots at once."""
+        self._add_entry(machine, machine_type, zone, spot)
+        self._finish_boot(machine)
+
+    def hold(self, machine: str, machine_type: str, zone: str, spot: bool) -> None:
+        """Adds a running machine whose worker is started elsewhere."""
+        self._add_entry(machine, machine_type, zone, spot)
+        self.blocks[machine]["tension"] = "running"
+
+    def _add_entry(self, machine: str, machine_type: str, zone: str, spot: bool) -> None:
+        self._serial = max(self._serial, int(machine.rpartition("-")[2]))
+        self.blocks[machine] = {
+            "name_id": machine,
             "addr": "",
-            "rig_model": type_,
-            "yard": yard,
-            "loaners": loaners,
+            "rig_model": machine_type,
+            "yard": zone,
+            "loaners": spot,
             "tension": "starting",
             "_since": self._clock.now(),
         }
 
-    def _boot(self, block: str) -> None:
-        entry = self.blocks.get(block)
+    def _finish_boot(self, machine: str) -> None:
+        entry = self.blocks.get(machine)
         if entry is not None:
             entry["tension"] = "running"
-            entry["addr"] = self._start(
-                block, self._types[entry["rig_model"]], entry["yard"], entry["loaners"]
+            entry["addr"] = self._start_worker(
+                machine, self._machine_types[entry["rig_model"]], entry["yard"], entry["loaners"]
             )
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -1,4 +1,4 @@
-"""Stand-in copies of a named service: they listen, register, answer checks, and fail as told."""
+"""Simulated copies of a named service: they register, answer checks, and fail as configured."""
 
 import asyncio
 import contextlib
@@ -15,25 +15,27 @@
 from pulleydeal.store import records as r
 from pulleydeal.submissions.messages import described
 
-EVERY_S = 3.0  # between two registrations of a copy
+REGISTER_INTERVAL_S = 3.0
 
 
 @dataclass
 class Behaviour:
-    """How all copies of an image behave. Times count from a copy's own start."""
+    """How all copies of an image behave; times are relative to the start of a copy."""
 
-    ready_s: float = 0.0  # until its first good answer
+    ready_s: float = 0.0  # time until its first successful answer
     fails_after_s: float | None = None
-    flaps_s: float | None = None  # good and bad in turn, each so long
-    silent: bool = False  # it fails by not answering
-    from_: float | None = None  # moment from which all of them fail, whenever they started
+    flaps_s: float | None = None  # alternates between good and bad with this period
+    silent: bool = False  # fails by not answering instead of with 500
+    from_: float | None = None  # absolute time from which all copies fail
 
 
 @dataclass
 class Copy:
+    """One running copy, which serves requests and registers itself with a node."""
+
     service: str
-    lift: str
-    pull: int
+    task_id: str
+    attempt: int
     address: str
     image: str
     clock: Clock
@@ -45,18 +47,18 @@
     leaving: bool = False
     stopped: bool = False
     answered: dict[int, int] = field(default_factory=dict)
-    first_bad: dict[str, float] = field(default_factory=dict)  # image -> when one first failed
+    first_bad: dict[str, float] = field(default_factory=dict)  # image -> first failure
 
     def good(self) -> bool:
-        """Whether it serves now: what a checker compares with what was promised."""
-        b, age = self.behaviour, self.clock.now() - self.began
-        if self.stopped or age < b.ready_s:
+        """Whether the copy is truly healthy now; floors are checked against this."""
+        behaviour, age = self.behaviour, self.clock.now() - self.began
+        if self.stopped or age < behaviour.ready_s:
             return False
-        if b.from_ is not None and self.clock.now() >= b.from_:
+        if behaviour.from_ is not None and self.clock.now() >= behaviour.from_:
             return False
-        if b.fails_after_s is not None and age >= b.fails_after_s:
+        if behaviour.fails_after_s is not None and age >= behaviour.fails_after_s:
             return False
-        return b.flaps_s is None or int(age / b.flaps_s) % 2 == 0
+        return behaviour.flaps_s is None or int(age / behaviour.flaps_s) % 2 == 0
 
     async def handle(self, request: Request) -> Response:
         good = self.good()
@@ -87,83 +89,85 @@
 
     async def _register(self) -> None:
         names = sorted(self.nodes)
-        at = names[0]
+        node = names[0]
         while True:
             body = {
                 "service": self.service,
-                "job": self.lift.rpartition("/")[0],
-                "attempt": self.pull,
+                "job": self.task_id.rpartition("/")[0],
+                "attempt": self.attempt,
                 "address": self.address,
                 "busy": self.busy,
             }
-            client = Client(self.nodes[at], self.clock)
-            wait = EVERY_S
+            client = Client(self.nodes[node], self.clock)
+            wait = REGISTER_INTERVAL_S
             try:
                 status, raw = await client.request("POST", "/copies", body, 2.0)
                 reply = json.loads(raw)
                 if status == 200:
                     self.leaving = bool(reply["leave"])
                 elif status == 421 and reply.get("leader") in self.nodes:
-                    at, wait = reply["leader"], 0.1
+                    node, wait = reply["leader"], 0.1
                 else:
-                    at, wait = names[(names.index(at) + 1) % len(names)], 0.5
+                    node, wait = names[(names.index(node) + 1) % len(names)], 0.5
             except (NoAnswer, ValueError):
-                at, wait = names[(names.index(at) + 1) % len(names)], 0.5
+                node, wait = names[(names.index(node) + 1) % len(names)], 0.5
             finally:
                 client.close()
             await asyncio.sleep(wait)
 
 
 class Copies:
-    """All copies of all services of a world, by task."""
+    """All live copies of all services, by task."""
 
     def __init__(self, clock: Clock, nodes: dict[str, str]) -> None:
         self._clock, self._nodes = clock, nodes
-        self.behaviours: dict[str, Behaviour] = {}  # image -> how its copies behave
-        self.services: dict[str, str] = {}  # class of jobs -> service
-        self.all = False  # every standing job is a copy, of the service that its class names
+        self.behaviours: dict[str, Behaviour] = {}  # by image
+        self.services: dict[str, str] = {}  # job class -> service
+        self.all = False  # treat every standing job as a copy of the service named by its class
         self.first_bad: dict[str, float] = {}
         self.live: dict[str, tuple[Copy, asyncio.Task[None]]] = {}
         self.changed: Callable[[], None] = lambda: None
 
-    def start(self, lift: str, pull: int, job: dict[str, Any], address: str) -> Copy | None:
+    def start(self, task_id: str, attempt: int, job: dict[str, Any], address: str) -> Copy | None:
         service = self.services.get(job["rig"], job["rig"] if self.all else None)
         if service is None:
             return None
-        behaviour = self.behaviours.setdefault(job["tackle"], named(job["tackle"]))
+        behaviour = self.behaviours.setdefault(job["tackle"], behaviour_of(job["tackle"]))
         image = job["tackle"]
-        copy = Copy(service, lift, pull, address, image, self._clock, self._nodes, behaviour)
+        copy = Copy(service, task_id, attempt, address, image, self._clock, self._nodes, behaviour)
         copy.first_bad = self.first_bad
         task = asyncio.ensure_future(copy.run())
-        task.add_done_callback(_told)
-        self.live[lift] = (copy, task)
+        task.add_done_callback(_raise_failure)
+        self.live[task_id] = (copy, task)
         return copy
 
-    def end(self, lift: str) -> None:
-        found = self.live.pop(lift, None)
-        if found is not None:
-            found[0].stopped = True
-            found[1].cancel()
+    def end(self, task_id: str) -> None:
+        entry = self.live.pop(task_id, None)
+        if entry is not None:
+            entry[0].stopped = True
+            entry[1].cancel()
             self.changed()
 
 
-def named(image: str) -> Behaviour:
-    """How an image behaves whose name says it: `web-2-fails-after-20`; any other is good."""
-    found = re.search(r"fails-after-([0-9]+)$", image)
-    return Behaviour(fails_after_s=float(found[1])) if found else Behaviour()
+def behaviour_of(image: str) -> Behaviour:
+    """Reads the behaviour from names like `web-2-fails-after-20`; other images are healthy."""
+    match = re.search(r"fails-after-([0-9]+)$", image)
+    return Behaviour(fails_after_s=float(match[1])) if match else Behaviour()
 
 
-def _told(task: "asyncio.Task[None]") -> None:
+def _raise_failure(task: "asyncio.Task[None]") -> None:
     with contextlib.suppress(asyncio.CancelledError):
         if (error := task.exception()) is not None and not isinstance(error, OSError):
             raise error
 
 
-def look_up(keys: dict[str, tuple[Any, int, int | None]], job: str) -> dict[str, Any] | None:
-    """The description of a job that a feature submitted, from the state service's keys."""
-    found = keys.get(r.job_key(job))
-    spec = found[0].get("spec") if found else None
+def find_description(
+    keys: dict[str, tuple[Any, int, int | None]], job: str
+) -> dict[str, Any] | None:
+    """The description of a job submitted by a feature, from its record; None if unknown."""
+    entry = keys.get(r.job_key(job))
+    spec = entry[0].get("spec") if entry else None
     if spec is None:
         return None
-    words = described(msgspec.convert(spec, r.JobSpec))
-    return words | {"_run_s": words["haul_s"]}
+    submission = described(msgspec.convert(spec, r.JobSpec))
+    return submission | {"_run_s": submission["haul_s"]}
--- a/standins/cron_engine.py
+++ b/standins/cron_engine.py
@@ -1,7 +1,7 @@
-"""Leaders of cron tables over a state service in memory: losses, outages, late answers, lag.
+"""The leader of cron tables on an in-memory state service, with faults, over simulated years.
 
-No nodes and no network: what is tried is that each instant begins one job whoever leads and
-whatever was answered, over simulated years. Time moves from one instant to the next.
+There are no real nodes and no network. The tests check that each instant starts exactly one job,
+whoever leads and whichever answers are lost or late. Time jumps from one instant to the next.
 """
 
 import random
@@ -24,7 +24,7 @@
 
 
 class World:
-    """The state service, the time, and who leads."""
+    """The state service, the clock, and the current leader."""
 
     def __init__(self, seed: int, now: float) -> None:
         self.rng = random.Random(seed)
@@ -37,9 +37,9 @@
         self.down_until = 0.0
         self.leader = "a"
         self.late: list[tuple[float, dict[str, int], dict[str, bytes], list[str]]] = []
-        self.trouble = 0.0  # share of transactions without an answer
+        self.trouble = 0.0  # share of transactions that get no answer
         self.transactions = 0
-        self.kept: dict[str, m.Event] = {}  # for nodes that come later
+        self.kept: dict[str, m.Event] = {}  # current keys, for nodes that are added later
         self.apply({}, {r.VIEW: msgspec.json.encode(r.View(1))}, [])
 
     def apply(self, read: dict[str, int], puts: dict[str, bytes], drops: list[str]) -> bool:
@@ -50,15 +50,15 @@
         for key, value in puts.items():
             self.marks[key] = self.revision
             if key.startswith("p/j/"):
-                self.accepted[key.removeprefix("p/j/")] += 1  # known, and not kept
+                self.accepted[key.removeprefix("p/j/")] += 1  # jobs are counted, not stored
             else:
-                self._tell(m.Event(self.revision, key, None, msgspec.Raw(value)))
+                self._publish(m.Event(self.revision, key, None, msgspec.Raw(value)))
         for key in drops:
             self.marks.pop(key, None)
-            self._tell(m.Event(self.revision, None, key))
+            self._publish(m.Event(self.revision, None, key))
         return True
 
-    def _tell(self, event: m.Event) -> None:
+    def _publish(self, event: m.Event) -> None:
         if event.put is not None:
             self.kept[event.put] = event
         elif event.delete is not None:
@@ -67,7 +67,7 @@
             node.events.append(event)
 
     def lead(self, name: str) -> None:
-        """Another leads from now on: the view moves, so what the one before sends fails."""
+        """Makes a node the leader; the new view makes transactions of the old leader fail."""
         self.leader = name
         self.leads += 1
         self.apply({}, {r.VIEW: msgspec.json.encode(r.View(self.revision))}, [])
@@ -79,12 +79,12 @@
 
 
 class Node:
-    """One node's membership, store and clock, in the shape that the service asks for."""
+    """Membership, store and clock of one node, with the interfaces that `Recurring` uses."""
 
     is_member = True
 
-    def __init__(self, name: str, world: World, off_s: float) -> None:
-        self.me, self.world, self._off_s = name, world, off_s
+    def __init__(self, name: str, world: World, clock_offset_s: float) -> None:
+        self.me, self.world, self._clock_offset_s = name, world, clock_offset_s
         self.replica = Replica()
         self.limits = Limits(2_000, 10)
         self.serves: dict[str, int] = {}
@@ -103,7 +103,7 @@
         return self.world.now
 
     def wall(self) -> float:
-        return self.world.now + self._off_s
+        return self.world.now + self._clock_offset_s
 
     def all_serve(self, feature: str, format_: int) -> bool:
         return True
@@ -134,18 +134,18 @@
         if world.now < world.down_until:
             raise Unavailable("outage")
         if world.rng.random() < world.trouble:
-            which = world.rng.randrange(3)
-            if which == 0:
+            fault = world.rng.randrange(3)
+            if fault == 0:
                 world.apply(read, raw, drops or [])
-            elif which == 1:
+            elif fault == 1:
                 world.late.append((world.now + world.rng.uniform(1, 90), read, raw, drops or []))
             raise Unknown("no answer")
-        done = world.apply(read, raw, drops or [])
+        applied = world.apply(read, raw, drops or [])
         self.follow()
-        return done
+        return applied
 
     async def look(self) -> None:
-        """One round of the service at this moment."""
+        """Runs one round of the service now."""
         self.follow()
         await self.recurring.round()
 
@@ -159,7 +159,7 @@
 
 
 def next_instant(nodes: list[Node]) -> float | None:
-    """When the first line of any table that is led falls due."""
+    """When the next line of any loaded table is due."""
     found = [
         loaded.queue[0][0]
         for node in nodes
@@ -170,7 +170,7 @@
 
 
 async def live(world: World, nodes: list[Node], until: float, trouble: bool) -> None:
-    """Goes from instant to instant; leaders are lost and outages come at random."""
+    """Runs all rounds until `until`; with `trouble`, leaders change and outages occur at random."""
     rng = world.rng
     while world.now < until:
         instant = next_instant(nodes)
@@ -179,13 +179,13 @@
         else:
             world.now = min(until, instant + rng.uniform(-2.0, 1.5))
         if trouble:
-            luck = rng.random()
-            if luck < 0.02:
+            draw = rng.random()
+            if draw < 0.02:
                 world.lead(rng.choice([node.me for node in nodes]))
-            elif luck < 0.03:
+            elif draw < 0.03:
                 world.outages += 1
                 world.down_until = world.now + rng.uniform(1.0, 120.0)
-            elif luck < 0.035:  # all nodes are down, and come back with nothing
+            elif draw < 0.035:  # all nodes restart with empty memory
                 world.now += rng.uniform(1.0, 100.0)
                 for node in nodes:
                     node.recurring.loaded.clear()
@@ -195,7 +195,7 @@
 
 
 def wanted(table: str, expected: dict[str, list[int]]) -> set[str]:
-    """The ids of the jobs that lines should have begun, by line."""
+    """The ids of the jobs that the lines should have started; `expected`: line -> instants."""
     return {
         st.job_id(table, line, instant)
         for line, instants in expected.items()
--- a/standins/cron_expected.py
+++ b/standins/cron_expected.py
@@ -1,6 +1,6 @@
-"""When lines fire, worked out in another way: minute by minute over whole years, with numpy.
+"""An independent reference for when cron lines fire: every minute of whole years, with numpy.
 
-Written from crontab(5) and cron(8) alone, and sharing nothing with what is tested.
+It is written from crontab(5) and cron(8) alone and shares no code with the tested package.
 """
 
 import random
@@ -13,14 +13,14 @@
 
 
 class Year:
-    """Every minute of a span in one zone: its local fields, and where clocks change."""
+    """Every minute of a span in one time zone: its local fields and UTC offset."""
 
     def __init__(self, zone: str, first: int, last: int) -> None:
         tz = ZoneInfo(zone)
         self.first = first
         self.instants = np.arange(first, last, MINUTE)
         offsets = np.empty(len(self.instants), dtype=np.int64)
-        # Offsets change at full quarters of an hour; look once in each.
+        # Offsets change only at quarter hours, so one look-up for each is enough.
         for i in range(0, len(self.instants), 15):
             when = datetime.fromtimestamp(int(self.instants[i]), UTC).astimezone(tz)
             shift = when.utcoffset()
@@ -32,13 +32,13 @@
         self.local = local
 
     def firings(self, expression: str) -> list[int]:
-        """All instants at which cron starts it."""
+        """All instants at which cron starts the expression."""
         match = _matches(expression, self.fields)
         minute, hour = expression.split()[:2]
         if minute.startswith("*") or hour.startswith("*"):
             return [int(x) for x in self.instants[match]]
-        # A fixed time: once on every local day that has it, also where the clock skips it (then
-        # right after) or shows it twice (then the first time).
+        # A fixed time runs once on each local day that has it. If the clock skips it, it runs
+        # right after the change; if the clock shows it twice, it runs the first time.
         found = []
         seen: set[int] = set()
         for i in np.flatnonzero(match):
@@ -82,7 +82,7 @@
             allowed = {x % 7 for x in allowed}
         masks.append(np.isin(values, sorted(allowed)))
     minute, hour, day, month, weekday = masks
-    # crontab(5): if neither starts with *, one of the two is enough.
+    # crontab(5): if neither day field starts with *, a match of either is enough.
     both = words[2].startswith("*") or words[4].startswith("*")
     return minute & hour & month & ((day & weekday) if both else (day | weekday))
 
@@ -93,7 +93,7 @@
 
 
 def random_expression(rng: random.Random) -> str:
-    """Varied lines as people have them, most of them daily or rarer."""
+    """A random line like those in use; most run daily or more rarely."""
     minute = rng.choice(
         [str(rng.randrange(60)), "*/30", f"{rng.randrange(30)},{30 + rng.randrange(30)}", "0"]
     )
--- a/standins/hollow.py
+++ b/standins/hollow.py
@@ -1,6 +1,7 @@
-"""Many workers in one process, with nothing behind them: `python3 -m standins.hollow PLAN NUMBER`.
+"""Many simulated workers in one process: `python3 -m standins.hollow PLAN NUMBER`.
 
-They speak PROTOCOL over real sockets; their tasks are counters. What they do is told to the hub.
+They speak PROTOCOL over real sockets, but their tasks only count down time. Each start, end and
+completion of a task is sent to the hub.
 """
 
 import asyncio
@@ -15,23 +16,25 @@
 from pulleydeal.settings import split_address
 from standins import hub_messages as m
 from standins.gangs import Attempt, Gangs
-from standins.hub import LINE_MOST_B
-from standins.worker import Running, Times, Worker, World
+from standins.hub import MAX_LINE_B
+from standins.worker import Worker, WorkerEnvironment, WorkerTask, WorkerTimings
 
-PROGRESS_S = 0.2  # how often the hub hears that all earlier events have been sent
-TICK_S = 0.5  # coarse: a process has hundreds of workers with some 28 tasks each
-START_SPREAD_S = 3.0  # workers begin to report over one report period
-LONG_S = 1e9  # a task that runs from before the run and outlasts it
+PROGRESS_S = 0.2  # interval of the messages that all earlier events have been sent
+TICK_S = 0.5  # coarse, as a process has hundreds of workers with about 28 tasks each
+START_SPREAD_S = 3.0  # first reports are spread over one report period
+LONG_S = 1e9  # remaining time of tasks that outlast the scale run
 
 
 class HeldTask(msgspec.Struct):
-    """A task that runs when the scale run begins."""
+    """A task that is already running when the scale run begins."""
 
     task: str
     attempt: int
 
 
 class HollowWorker(msgspec.Struct):
+    """A worker to start: its machine, address, zone, whether it is spot, and its tasks."""
+
     block: str
     addr: str
     yard: str
@@ -40,7 +43,7 @@
 
 
 class Plan(msgspec.Struct):
-    """What all processes of hollow workers are told, by one file."""
+    """The configuration file of all processes of hollow workers."""
 
     hub: str
     nodes: dict[str, str]
@@ -51,8 +54,8 @@
     processes: list[list[HollowWorker]]
 
 
-class Line:
-    """The connection to the hub."""
+class HubConnection:
+    """The connection to the hub; one message a line."""
 
     def __init__(self, writer: asyncio.StreamWriter, clock: SystemClock) -> None:
         self._writer = writer
@@ -62,49 +65,49 @@
         self._writer.write(m.line(message))
 
 
-class Recorder:
-    """Stands in the place of the checker's rules: what it is told goes to the hub."""
+class EventForwarder:
+    """Replaces `Rules` in a worker process: forwards the events to the hub, which checks them."""
 
-    def __init__(self, line: Line) -> None:
-        self._line = line
+    def __init__(self, hub: HubConnection) -> None:
+        self._hub = hub
         self.lost = 0
 
     def on(
         self,
-        lift: str,
-        block: str,
-        type_: str,
-        yard: str,
-        loaners: bool,
+        task: str,
+        machine: str,
+        machine_type: str,
+        zone: str,
+        spot: bool,
         _results: set[str],
         ordered_at: float,
     ) -> None:
-        at = self._line.now()
-        self._line.send(m.TaskStarted(at, lift, block, type_, yard, loaners, ordered_at))
+        at = self._hub.now()
+        self._hub.send(m.TaskStarted(at, task, machine, machine_type, zone, spot, ordered_at))
 
-    def off(self, lift: str, block: str) -> None:
-        self._line.send(m.TaskEnded(self._line.now(), lift, block))
+    def off(self, task: str, machine: str) -> None:
+        self._hub.send(m.TaskEnded(self._hub.now(), task, machine))
 
 
 class SharedGangs(Gangs):
-    """Gangs whose members may be in any process: the hub knows when one is whole."""
+    """Gangs whose members may be in any process; the hub tells when one is complete."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, hub: HubConnection) -> None:
         super().__init__()
-        self._line = line
+        self._hub = hub
         self._broken: set[Attempt] = set()
 
-    def join(self, attempt: Attempt, task: str, running: Running, size: int) -> None:
+    def join(self, attempt: Attempt, task: str, running: WorkerTask, size: int) -> None:
         self._members.setdefault(attempt, {})[task] = running
-        self._line.send(m.MemberJoined(self._line.now(), *attempt, task, size))
+        self._hub.send(m.MemberJoined(self._hub.now(), *attempt, task, size))
 
     def leave(self, attempt: Attempt, task: str) -> None:
         if self._members.get(attempt, {}).pop(task, None) is not None:
-            self._line.send(m.MemberLeft(self._line.now(), *attempt, task))
+            self._hub.send(m.MemberLeft(self._hub.now(), *attempt, task))
 
     def start(self, attempt: Attempt) -> None:
         for running in self._members.get(attempt, {}).values():
-            running.tension = "running"
+            running.state = "running"
 
     def end(self, attempt: Attempt) -> None:
         self._broken.add(attempt)
@@ -114,21 +117,23 @@
 
 
 class Hollow:
-    """The workers of one process."""
-
-    def __init__(self, plan: Plan, line: Line, clock: SystemClock) -> None:
-        self._plan, self._line, self._clock = plan, line, clock
-        self.recorder = Recorder(line)
-        self.gangs = SharedGangs(line)
-        self._world = World(self.recorder, dict(plan.jobs), gangs=self.gangs)  # type: ignore[arg-type]
-        self._world.ended = lambda task: line.send(m.TaskCompleted(line.now(), task))
-        self._times = Times(plan.report_s, plan.lease_s, tick_s=TICK_S)
+    """The workers of one process, and its reactions to messages of the hub."""
+
+    def __init__(self, plan: Plan, hub: HubConnection, clock: SystemClock) -> None:
+        self._plan, self._hub, self._clock = plan, hub, clock
+        self._forwarder = EventForwarder(hub)
+        self.gangs = SharedGangs(hub)
+        self._environment = WorkerEnvironment(self._forwarder, dict(plan.jobs), gangs=self.gangs)  # type: ignore[arg-type]
+        self._environment.on_task_completed = lambda task: hub.send(
+            m.TaskCompleted(hub.now(), task)
+        )
+        self._times = WorkerTimings(plan.report_s, plan.lease_s, tick_s=TICK_S)
         self._workers: dict[str, Worker] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._lives = 0
+        self._starts = 0
 
     async def start(self, planned: HollowWorker, spread_s: float) -> None:
-        self._lives += 1
+        self._starts += 1
         worker = Worker(
             planned.block,
             planned.addr,
@@ -136,36 +141,36 @@
             planned.yard,
             planned.loaners,
             self._plan.nodes,
-            self._world,
+            self._environment,
             self._times,
             self._clock,
-            f"{planned.block} {self._lives}",
+            f"{planned.block} {self._starts}",
         )
         for held in planned.tasks:
             job = self._plan.jobs[held.task.rpartition("/")[0]]
-            worker.lifts[held.task] = Running(job, held.attempt, "running", left_s=LONG_S)
+            worker.tasks[held.task] = WorkerTask(job, held.attempt, "running", remaining_s=LONG_S)
         await worker.listen()
         self._workers[planned.block] = worker
         self._tasks[planned.block] = asyncio.ensure_future(self._report(worker, spread_s))
 
     async def _report(self, worker: Worker, spread_s: float) -> None:
-        await asyncio.sleep(random.Random(worker.block).uniform(0.0, spread_s))
+        await asyncio.sleep(random.Random(worker.machine).uniform(0.0, spread_s))
         await worker.keep_reporting()
 
-    async def replace(self, blocks: list[str], after_s: float) -> None:
-        mine = [block for block in blocks if block in self._workers]
-        ended = [self._workers.pop(block) for block in mine]
+    async def replace(self, machines: list[str], after_s: float) -> None:
+        mine = [machine for machine in machines if machine in self._workers]
+        ended = [self._workers.pop(machine) for machine in mine]
         for worker in ended:
-            self._tasks.pop(worker.block).cancel()
-            worker.vanish()
+            self._tasks.pop(worker.machine).cancel()
+            worker.terminate()
             await worker.close()
         await asyncio.sleep(after_s)
         for old in ended:
-            again = HollowWorker(old.block, old.addr, old.yard, old.loaners)
+            again = HollowWorker(old.machine, old.addr, old.zone, old.spot)
             await self.start(again, 0.0)
 
-    async def silence(self, blocks: list[str], for_s: float) -> None:
-        mine = [self._workers[block] for block in blocks if block in self._workers]
+    async def silence(self, machines: list[str], for_s: float) -> None:
+        mine = [self._workers[machine] for machine in machines if machine in self._workers]
         for worker in mine:
             worker.reachable = False
         await asyncio.sleep(for_s)
@@ -174,13 +179,13 @@
 
     def take(self, message: m.Down) -> None:
         if isinstance(message, m.Upload):
-            self._world.uploads[message.body["name_id"]] = message.body
+            self._environment.uploads[message.body["name_id"]] = message.body
         elif isinstance(message, m.GangComplete):
             self.gangs.start((message.job, message.attempt))
         elif isinstance(message, m.GangBroken):
             self.gangs.end((message.job, message.attempt))
         elif isinstance(message, m.Completed):
-            self._world.results.add(message.task)
+            self._environment.results.add(message.task)
             if message.gang:
                 self.gangs.complete(message.gang)
         elif isinstance(message, m.Silence):
@@ -206,18 +211,18 @@
                 "report bytes": sum(w.report_bytes for w in workers),
                 "answer bytes": sum(w.answer_bytes for w in workers),
                 "orders": sum(w.orders for w in workers),
-                "tasks": sum(len(w.lifts) for w in workers),
-                "lost": self.recorder.lost,
+                "tasks": sum(len(w.tasks) for w in workers),
+                "lost": self._forwarder.lost,
             }
-            self._line.send(m.Progress(self._line.now(), counts))
+            self._hub.send(m.Progress(self._hub.now(), counts))
             await asyncio.sleep(PROGRESS_S)
 
 
 async def main(plan_file: Path, number: int) -> None:
     plan = msgspec.json.decode(plan_file.read_bytes(), type=Plan)
-    reader, writer = await asyncio.open_connection(*split_address(plan.hub), limit=LINE_MOST_B)
+    reader, writer = await asyncio.open_connection(*split_address(plan.hub), limit=MAX_LINE_B)
     clock = SystemClock()
-    hollow = Hollow(plan, Line(writer, clock), clock)
+    hollow = Hollow(plan, HubConnection(writer, clock), clock)
     for planned in plan.processes[number]:
         await hollow.start(planned, START_SPREAD_S)
     loops = [asyncio.ensure_future(hollow.tick()), asyncio.ensure_future(hollow.tell_progress())]
--- a/standins/hub_messages.py
+++ b/standins/hub_messages.py
@@ -1,4 +1,4 @@
-"""What processes of a scale run tell one another: JSON lines, one message a line."""
+"""Messages between the processes of a scale run: JSON lines, one message a line."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class TaskStarted(Struct, tag=True, tag_field="event"):
-    at: float  # steady clock of the machine that all processes share
+    at: float  # monotonic clock, shared by all processes of the machine
     task: str
     block: str
     type: str
@@ -19,7 +19,7 @@
 
 
 class TaskEnded(Struct, tag=True, tag_field="event"):
-    """It is not on that machine any more."""
+    """The task is no longer on that machine."""
 
     at: float
     task: str
@@ -47,7 +47,7 @@
 
 
 class Progress(Struct, tag=True, tag_field="event"):
-    """Sent several times a second: all earlier events of the process have been sent."""
+    """Sent several times a second: confirms that all earlier events have been sent."""
 
     at: float
     counts: dict[str, int] = {}
@@ -61,7 +61,7 @@
 
 
 class GangComplete(Struct, tag=True, tag_field="event"):
-    """All members of the attempt are there: it runs."""
+    """All members of the attempt have joined, so its tasks run."""
 
     job: str
     attempt: int
@@ -76,25 +76,25 @@
     """A task completed on a worker of another process."""
 
     task: str
-    gang: str = ""  # the job, if it is a gang's
+    gang: str = ""  # the job id, if the job is a gang
 
 
 class Silence(Struct, tag=True, tag_field="event"):
-    """Nothing that these workers send or are sent arrives for so long."""
+    """Cuts these workers off from all traffic for some time."""
 
     blocks: list[str]
     for_s: float
 
 
 class Replace(Struct, tag=True, tag_field="event"):
-    """These machines end, and are back without their tasks after so long."""
+    """Ends these machines; they restart without their tasks after some time."""
 
     blocks: list[str]
     after_s: float
 
 
 class Outage(Struct, tag=True, tag_field="event"):
-    """The state service answers nobody for so long."""
+    """The state service is down for some time."""
 
     for_s: float
 
--- a/standins/net.py
+++ b/standins/net.py
@@ -1,7 +1,7 @@
 """A virtual clock and an in-memory network for asyncio streams.
 
 The loop never sleeps: when nothing is ready, its time jumps to the next timer. Connections
-made on it run through `Network`, which delays, holds back, resets and loses.
+opened on it run through `Network`, which can delay, hold back, reset and drop traffic.
 """
 
 import asyncio
@@ -10,43 +10,45 @@
 from collections.abc import Callable
 from typing import Any
 
-HOST: contextvars.ContextVar["Host"] = contextvars.ContextVar("host")
-LINK: contextvars.ContextVar["Pipe"] = contextvars.ContextVar("link")  # it came by, likewise
-CALLER: contextvars.ContextVar["Host"] = contextvars.ContextVar("caller")  # while serving it
+HOST: contextvars.ContextVar["Host"] = contextvars.ContextVar("host")  # that runs the code
+LINK: contextvars.ContextVar["Pipe"] = contextvars.ContextVar("link")  # that carries the request
+CALLER: contextvars.ContextVar["Host"] = contextvars.ContextVar("caller")  # its sender
 
 
 class Host:
-    """One machine of the simulated world; killing it ends everything that runs there."""
+    """A simulated machine; killing it ends every task and connection on it."""
 
     def __init__(self, ip: str, zone: str) -> None:
         self.ip = ip
         self.zone = zone
         self.alive = True
-        # In the order of their coming: the order in which they end is the same in every run.
+        # Dicts keep insertion order, so that tasks end in the same order in every run.
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.pipes: dict[Pipe, None] = {}
         self.frozen = False
-        self.due: list[asyncio.Handle] = []  # what would have run while it stood still
+        self.due: list[asyncio.Handle] = []  # callbacks deferred while the host is frozen
 
 
-class _Timers:
-    """In place of a selector: waiting means moving the clock."""
+class _VirtualSelector:
+    """Replaces the selector: waiting advances the virtual clock."""
 
     def __init__(self, loop: "VirtualLoop") -> None:
         self._loop = loop
 
     def select(self, timeout: float | None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("nothing is left that could ever happen")
+            raise RuntimeError("deadlock: no callback or timer is pending")
         self._loop.clock += timeout
         return []
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
+    """An event loop with a virtual clock, whose connections run through a `Network`."""
+
     def __init__(self, network: "Network") -> None:
         super().__init__()
         self.clock = 0.0
-        self._selector = _Timers(self)
+        self._selector = _VirtualSelector(self)
         self._network = network
         network.loop = self
         self.set_task_factory(_task_on_host)
@@ -54,7 +56,7 @@
     def time(self) -> float:
         return self.clock
 
-    # What runs on a frozen host waits, in its order, for it to go on; its clocks go on meanwhile.
+    # Callbacks of a frozen host are deferred, in order, until it thaws; its clock keeps running.
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:
         context = context if context is not None else contextvars.copy_context()
         host = context.get(HOST)
@@ -70,17 +72,17 @@
         if host is None:
             return super().call_at(when, callback, *args, context=context)
 
-        def ring() -> None:
+        def run_or_defer() -> None:
             if host.frozen:
-                host.due.append(asyncio.Handle(late, (), self, context))
+                host.due.append(asyncio.Handle(run_deferred, (), self, context))
             else:
                 callback(*args)
 
-        def late() -> None:
+        def run_deferred() -> None:
             if not timer.cancelled():
                 callback(*args)
 
-        timer = super().call_at(when, ring, context=context)
+        timer = super().call_at(when, run_or_defer, context=context)
         return timer
 
     def thaw(self, host: Host) -> None:
@@ -89,10 +91,10 @@
         self._ready.extend(handle for handle in due if not handle.cancelled())
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """There are no file descriptors here."""
+        """Does nothing: there are no file descriptors."""
 
     def _write_to_self(self) -> None:
-        """Nor is there another thread."""
+        """Does nothing: there are no other threads to wake the loop."""
 
     async def create_server(
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
@@ -112,7 +114,7 @@
     host = HOST.get(None)
     if host is not None:
         host.tasks[task] = None
-        task.add_done_callback(lambda ended: host.tasks.pop(ended, None))
+        task.add_done_callback(lambda finished_task: host.tasks.pop(finished_task, None))
     return task
 
 
@@ -135,55 +137,59 @@
 
 
 class Network:
+    """Connects hosts, and applies partitions, one-way cuts, mutes and random delays."""
+
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.loop: VirtualLoop
         self.listeners: dict[tuple[str, int], Listener] = {}
         self._held: list[tuple[Pipe, Callable[[], None]]] = []
         self._cuts: list[Callable[[Host, Host], bool]] = []
-        self._ways: list[tuple[Callable[[Host, Host], bool], bool]] = []
-        self._mute: list[Callable[[Host, Host], bool]] = []
+        self._one_way_cuts: list[tuple[Callable[[Host, Host], bool], bool]] = []
+        self._mutes: list[Callable[[Host, Host], bool]] = []
 
     def blocked(self, a: Host, b: Host) -> bool:
         return a is not b and any(cut(a, b) or cut(b, a) for cut in self._cuts)
 
     def cut(self, between: Callable[[Host, Host], bool]) -> None:
-        """Holds back whatever goes between hosts for which `between` is true, beside all else."""
+        """Holds back traffic in both directions between hosts for which `between` is true."""
         self._cuts.append(between)
 
     def one_way(self, between: Callable[[Host, Host], bool], keep: bool) -> Callable[[], None]:
-        """What goes from one host to another is lost, or kept until the result is called."""
-        way = (between, keep)
-        self._ways.append(way)
+        """Drops traffic in one direction, or holds it (`keep`) until the result is called."""
+        one_way_cut = (between, keep)
+        self._one_way_cuts.append(one_way_cut)
 
         def end() -> None:
-            if way in self._ways:
-                self._ways.remove(way)
-                self._deliver()
+            if one_way_cut in self._one_way_cuts:
+                self._one_way_cuts.remove(one_way_cut)
+                self._release_held()
 
         return end
 
     def mute(self, hosts: list[Host], towards: Callable[[Host], bool]) -> None:
-        """These open no connection to such hosts, and lose those that they had opened; what
-        others open to them works."""
-        self._mute.append(lambda f, t: f in hosts and towards(t))
+        """Stops the hosts from opening connections to some targets, and resets their existing ones.
+
+        Connections that the targets open to these hosts still work.
+        """
+        self._mutes.append(lambda f, t: f in hosts and towards(t))
         for host in hosts:
             for pipe in [p for p in host.pipes if p.dialled and towards(p.peer.host)]:
                 pipe.die()
                 pipe.call(pipe.protocol.connection_lost, ConnectionResetError())
 
     def way_closed(self, a: Host, b: Host) -> bool | None:
-        """Whether what goes from `a` to `b` is kept for later (True) or lost; None: it arrives."""
-        return next((keep for between, keep in self._ways if between(a, b)), None)
+        """Whether traffic from `a` to `b` is held (True) or dropped (False); None: delivered."""
+        return next((keep for between, keep in self._one_way_cuts if between(a, b)), None)
 
     def heal(self) -> None:
-        """Delivers in order what was held back, even from connections given up meanwhile."""
+        """Ends all cuts and mutes; delivers held traffic in order, also of closed connections."""
         self._cuts.clear()
-        self._ways.clear()
-        self._mute.clear()
-        self._deliver()
+        self._one_way_cuts.clear()
+        self._mutes.clear()
+        self._release_held()
 
-    def _deliver(self) -> None:
+    def _release_held(self) -> None:
         held, self._held = self._held, []
         for pipe, deliver in held:
             pipe.later(deliver)
@@ -202,18 +208,21 @@
             task.cancel()
 
     async def connect(self, factory: Any, address: tuple[str, int]) -> Any:
-        me = HOST.get()
+        caller = HOST.get()
         await asyncio.sleep(self.rng.uniform(0.0002, 0.001))
         listener = self.listeners.get(address)
         if listener is None:
             raise ConnectionRefusedError(address)
-        closed = self.blocked(me, listener.host) or self.way_closed(me, listener.host) is not None
-        closed = closed or any(mute(me, listener.host) for mute in self._mute)
-        if closed or not listener.host.alive:
-            await asyncio.get_running_loop().create_future()  # hangs, without an error
-        mine = Pipe(self, me, factory(), contextvars.copy_context())
+        is_blocked = (
+            self.blocked(caller, listener.host)
+            or self.way_closed(caller, listener.host) is not None
+        )
+        is_blocked = is_blocked or any(is_muted(caller, listener.host) for is_muted in self._mutes)
+        if is_blocked or not listener.host.alive:
+            await asyncio.get_running_loop().create_future()  # hangs, as a dropped SYN does
+        mine = Pipe(self, caller, factory(), contextvars.copy_context())
         context = listener.context.copy()
-        context.run(CALLER.set, me)
+        context.run(CALLER.set, caller)
         theirs = Pipe(self, listener.host, listener.factory(), context)
         context.run(LINK.set, theirs)
         mine.peer, theirs.peer = theirs, mine
@@ -224,7 +233,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """One end of a connection."""
+    """One end of a simulated connection."""
 
     peer: "Pipe"
 
@@ -235,8 +244,8 @@
         self.protocol = protocol
         self.context = context
         self.closing = False
-        self.dialled = False  # this end opened it
-        self.sent_at = 0.0  # when what came last was sent
+        self.dialled = False  # this end opened the connection
+        self.sent_at = 0.0  # when the data received last was sent
         self.next_at = 0.0
         host.pipes[self] = None
 
@@ -248,13 +257,13 @@
         loop = self.network.loop
         at = max(self.next_at, loop.time() + self.network.rng.uniform(0.0002, 0.002))
         self.next_at = at
-        loop.call_at(at, self._arrive, deliver)
+        loop.call_at(at, self._deliver_or_hold, deliver)
 
-    def _arrive(self, deliver: Callable[[], None]) -> None:
-        kept = self.network.way_closed(self.host, self.peer.host)
-        if self.network.blocked(self.host, self.peer.host) or kept:
+    def _deliver_or_hold(self, deliver: Callable[[], None]) -> None:
+        keep = self.network.way_closed(self.host, self.peer.host)
+        if self.network.blocked(self.host, self.peer.host) or keep:
             self.network.hold(self, deliver)
-        elif kept is None:
+        elif keep is None:
             deliver()
 
     def write(self, data: Any) -> None:
@@ -264,9 +273,9 @@
 
     def receive(self, data: bytes, sent_at: float) -> None:
         if not self.closing:
-            self.call(self._data, data, sent_at)
+            self.call(self._receive_data, data, sent_at)
 
-    def _data(self, data: bytes, sent_at: float) -> None:
+    def _receive_data(self, data: bytes, sent_at: float) -> None:
         if not self.closing:
             self.sent_at = sent_at
             self.protocol.data_received(data)
@@ -282,7 +291,7 @@
     abort = close
 
     def die(self) -> None:
-        """The process is killed: its kernel says goodbye if the network lets it."""
+        """Closes this end as the kernel of a killed process does: the peer gets a reset."""
         if not self.closing:
             self.closing = True
             self.host.pipes.pop(self, None)
@@ -310,14 +319,14 @@
         return default
 
     def pause_reading(self) -> None:
-        """Messages here are small; nothing needs to wait."""
+        """Does nothing: messages are small, so there is no flow control."""
 
     def resume_reading(self) -> None:
-        """See pause_reading."""
+        """Does nothing, as `pause_reading`."""
 
 
 def on_host(host: Host, coro: Any) -> "asyncio.Task[Any]":
-    """Starts a coroutine as something that runs on `host`."""
+    """Starts a coroutine as a task that runs on `host`."""
     context = contextvars.copy_context()
     context.run(HOST.set, host)
     return context.run(asyncio.ensure_future, coro)
--- a/standins/outside.py
+++ b/standins/outside.py
@@ -1,6 +1,6 @@
 """State service and cloud in a process of their own: `python3 -m standins.outside PLAN`.
 
-Their published limits hold. Records of an earlier life of the cluster are there from the start.
+They enforce their published limits, and start with the records of an already running cluster.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from pulleydeal.settings import split_address
 from standins import hub_messages as m
 from standins.cloud import CloudService
-from standins.hub import LINE_MOST_B
+from standins.hub import MAX_LINE_B
 from standins.state import StateService
 
 PROGRESS_S = 0.2
 
 
 class Block(msgspec.Struct):
-    """A machine that runs already."""
+    """A machine that is already running."""
 
     name: str
     addr: str
@@ -31,6 +31,8 @@
 
 
 class OutsidePlan(msgspec.Struct):
+    """The configuration file of the process."""
+
     hub: str
     state: str
     cloud: str
@@ -44,18 +46,20 @@
 
 
 class Outside:
+    """The simulated state service and cloud of a scale run."""
+
     def __init__(self, plan: OutsidePlan, clock: SystemClock) -> None:
         self._plan, self._clock = plan, clock
         self.state = StateService(1)
-        # Nothing more can be rented: the run's machines are those that are there.
+        # No capacity: a run uses only the machines that exist from the start.
         self.cloud = CloudService([plan.type], {}, clock, lambda *_: "", lambda _: None)
 
     def fill(self) -> None:
         for key, data in self._plan.records:
             self.state.put(key, data)
-        for block in self._plan.blocks:
-            self.cloud.capacity.setdefault((block.yard, block.loaners), 0)
-            self.cloud.hold(block.name, self._plan.type["name"], block.yard, block.loaners)
+        for machine in self._plan.blocks:
+            self.cloud.capacity.setdefault((machine.yard, machine.loaners), 0)
+            self.cloud.hold(machine.name, self._plan.type["name"], machine.yard, machine.loaners)
         plan = self._plan
         self.state.limit(plan.value_kb, plan.txn_ops, plan.write_rps, plan.rps)
 
@@ -79,7 +83,7 @@
         asyncio.ensure_future(outside.state.run(plan.state)),
         asyncio.ensure_future(outside.cloud.run(plan.cloud)),
     ]
-    reader, writer = await asyncio.open_connection(*split_address(plan.hub), limit=LINE_MOST_B)
+    reader, writer = await asyncio.open_connection(*split_address(plan.hub), limit=MAX_LINE_B)
     loops.append(asyncio.ensure_future(outside.tell_progress(writer)))
     outages: set[asyncio.Task[None]] = set()
     while data := await reader.readline():
--- a/standins/owner.py
+++ b/standins/owner.py
@@ -1,4 +1,4 @@
-"""The credit slice of one owner alone, with a replica filled by hand and a clock set by hand."""
+"""The `Credits` service of one owner, with a replica and a clock that tests set by hand."""
 
 import asyncio
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class _Membership:
-    """Always a member, always the same epoch."""
+    """Always a member, always in the same epoch."""
 
     epoch = 3
     is_member = True
@@ -38,7 +38,7 @@
     totals: Any = None
 
     def send_beat(self) -> None:
-        """Nobody listens."""
+        """Does nothing: there are no other members."""
 
 
 class _Siblings:
@@ -54,8 +54,8 @@
             self._owner.told[to] = unpack_cached_images(payload)
             return
         assert kind == HOLD
-        hold = unpack_hold(payload)
-        self._owner.held[f"{hold.job}/{hold.index}"] = hold.machine
+        credit_hold = unpack_hold(payload)
+        self._owner.held[f"{credit_hold.job}/{credit_hold.index}"] = credit_hold.machine
 
 
 class _Workers:
@@ -72,6 +72,8 @@
 
 
 class Owner:
+    """Drives the service round by round, and records its credits, stops and messages."""
+
     def __init__(self, machines: dict[str, str], gpus: float, guarantee: float = 0.0) -> None:
         self._now = 100.0
         self._version = 0
@@ -79,14 +81,14 @@
         self.replica.loaded = True
         self.held: dict[str, str] = {}
         self.stopped: list[str] = []
-        self.told: dict[str, CachedImages] = {}  # member -> images it was told of
+        self.told: dict[str, CachedImages] = {}  # member -> cached images sent to it
         self._siblings = _Siblings(self)
         self._workers = _Workers(self)
-        type_ = r.MachineType("t4", 8.0, gpus, 8.0, 100.0, 0.5, 4.0, 1.0, 20.0, ZONES)
-        self._put(r.CATALOG, r.Catalog([type_]))
+        machine_type = r.MachineType("t4", 8.0, gpus, 8.0, 100.0, 0.5, 4.0, 1.0, 20.0, ZONES)
+        self._write_record(r.CATALOG, r.Catalog([machine_type]))
         for machine, zone in machines.items():
             record = r.MachineRecord("up", "t4", zone, False)
-            self._put(r.machine_key(machine), record)
+            self._write_record(r.machine_key(machine), record)
             tracked = TrackedMachine(machine, "t4", zone, False, self._now, 0, set())
             tracked.last_report_at = self._now
             self._workers.machines[machine] = tracked
@@ -107,7 +109,7 @@
     def pass_time(self, seconds: float) -> None:
         self._now += seconds
 
-    def _put(self, key: str, value: object) -> None:
+    def _write_record(self, key: str, value: object) -> None:
         self._version += 1
         raw = msgspec.Raw(msgspec.json.encode(value))
         event = m.Event(self._version, key, None, raw)
@@ -115,24 +117,26 @@
 
     def set_state(self, machine: str, state: r.MachineState) -> None:
         old = self.replica.machines[machine].record
-        self._put(r.machine_key(machine), msgspec.structs.replace(old, state=state))
+        self._write_record(r.machine_key(machine), msgspec.structs.replace(old, state=state))
 
     def bind(self, machine: str, job: r.JobSpec) -> None:
-        self._put(r.job_key(job.id), r.JobRecord("open", 1, 0.0, job))
-        self._put(r.chunk_key(job.id, 0), [r.Task(machine, 1)])
+        self._write_record(r.job_key(job.id), r.JobRecord("open", 1, 0.0, job))
+        self._write_record(r.chunk_key(job.id, 0), [r.Task(machine, 1)])
 
     def unbind(self, machine: str, job: str) -> None:
-        self._put(r.chunk_key(job, 0), [r.Task("", 1)])
+        self._write_record(r.chunk_key(job, 0), [r.Task("", 1)])
 
     def ask(self, job: r.JobSpec, zones: list[str] | None = None, guaranteed: bool = False) -> None:
-        self._put(r.job_key(job.id), r.JobRecord("open", 1, 0.0, job))
-        turn = (0, 0.0, self._now)
-        ask = make_credit_request(job, 0, _Membership.epoch, guaranteed, turn, zones or ZONES, [])
-        self._run(self._handle(ASK, pack_credit_request(ask)))
+        self._write_record(r.job_key(job.id), r.JobRecord("open", 1, 0.0, job))
+        rank = (0, 0.0, self._now)
+        request = make_credit_request(
+            job, 0, _Membership.epoch, guaranteed, rank, zones or ZONES, []
+        )
+        self._run(self._handle(ASK, pack_credit_request(request)))
 
     def join(self, member: str, incarnation: str) -> None:
         members = self.replica.view.members | {"winch-0": "0", member: incarnation}
-        self._put(r.VIEW, r.View(3, members))
+        self._write_record(r.VIEW, r.View(3, members))
 
     def hear_images(self, cached: CachedImages) -> None:
         self._run(self._handle(IMAGES, pack_cached_images(cached)))
@@ -146,6 +150,6 @@
     def _run(self, coro: Any) -> None:
         async def run() -> None:
             await coro
-            await asyncio.sleep(0)  # answers are sent by the loop's next turn
+            await asyncio.sleep(0)  # answers are sent in the next iteration of the loop
 
         asyncio.run(run())
--- a/standins/place.py
+++ b/standins/place.py
@@ -1,4 +1,4 @@
-"""Where scenarios play: zones, a machine type, teams, and times of the stand-ins' world."""
+"""The setting of scenarios: zones, a machine type, teams, and delays."""
 
 ZONES = ["east", "west", "north"]
 TYPE = {
@@ -13,7 +13,7 @@
     "ready_s": 20.0,
     "yards": ZONES,
 }
-FAILED_S = 30.0  # PROTOCOL: a machine that dies keeps appearing as running for about so long
+FAILED_S = 30.0  # PROTOCOL: a dead machine is listed as running for about this long
 CANCEL_S = 34.0
 RESTART_S = 5.0
-TEAMS = {"core": 0.0, "small": 4.0}  # team -> most accelerators
+TEAMS = {"core": 0.0, "small": 4.0}  # team -> accelerator quota; 0: unlimited
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -1,40 +1,43 @@
-"""Checks PROTOCOL's rules while a scenario runs, from what tasks and users really saw."""
+"""Checks the rules of PROTOCOL during a scenario, from what tasks and users observe."""
 
 from collections import Counter
 from collections.abc import Callable
 from typing import Any
 
-FORGOTTEN_S = 90.0  # PROTOCOL: a job whose polls all fail for so long
+FORGOTTEN_S = 90.0  # PROTOCOL: a job whose polls all fail for this long is lost
 
 
 class Rules:
+    """Collects violations in `broken`, one line each: time, name of the rule, details."""
+
     def __init__(self, teams: dict[str, float], cancel_s: float, now: Callable[[], float]) -> None:
-        self._limits = teams  # team -> most accelerators, 0: none
+        self._quotas = teams  # team -> accelerator quota; 0: unlimited
         self._cancel_s = cancel_s
         self._now = now
         self.uploads: dict[str, dict[str, Any]] = {}
         self.broken: list[str] = []
-        self.places: dict[str, dict[str, str]] = {}  # lift -> block -> yard
-        # Job -> its tasks' zones, one for each place. Counting all tasks anew at each start grew
-        # with the square of a day; thousandths, as sums of them are exact.
-        self._yards: dict[str, Counter[str]] = {}
-        self._milli_used: dict[str, int] = {}  # team -> thousandths of accelerators in use
+        self.places: dict[str, dict[str, str]] = {}  # task -> machine -> zone
+        # Job -> number of its running tasks in each zone. Kept up to date because recounting all
+        # tasks at each start made the cost quadratic in the length of the scenario. Accelerators
+        # are counted in thousandths, as integer sums are exact.
+        self._task_zones: dict[str, Counter[str]] = {}
+        self._used_millis: dict[str, int] = {}  # team -> milli-accelerators in use
         self.starts = 0
-        self.lost = 0  # tasks that workers gave up as their lease was over
-        self.changes: list[tuple[float, str, int]] = []  # when a task of which job came or went
-        self.usage: dict[str, list[float]] = {}  # team -> accelerators in use, at each change
-        self.unfit: dict[str, str] = {}  # job that can't run or lacks a field -> why
-        self.late_starts = 0  # after a confirmed cancellation, whoever ordered them, and when
-        self.accepted_at: dict[str, float] = {}  # when its user first heard of it
-        self._final: dict[str, tuple[float, str]] = {}  # job -> when it was first heard, and what
-        self.cancelled: dict[str, float] = {}
-        self._polls: list[tuple[float, str, bool]] = []  # when, of which job, if answered
-        self._unanswered: dict[str, float] = {}  # job -> since when its polls fail
-
-    def _break(self, rule: str, text: str) -> None:
+        self.lost = 0  # tasks that workers ended because their lease expired
+        self.changes: list[tuple[float, str, int]] = []  # time, job, +1 start or -1 stop
+        self.usage: dict[str, list[float]] = {}  # team -> accelerators in use after each change
+        self.unfit: dict[str, str] = {}  # job that must be rejected -> reason
+        self.late_starts = 0  # starts after a confirmed cancellation, allowed or not
+        self.accepted_at: dict[str, float] = {}  # job -> when a user first learned of it
+        self._final_states: dict[str, tuple[float, str]] = {}  # job -> when first told, state
+        self.cancelled: dict[str, float] = {}  # job -> when confirmed; inf: only requested
+        self._polls: list[tuple[float, str, bool]] = []  # time, job, whether answered
+        self._unanswered_since: dict[str, float] = {}  # job -> start of its failing polls
+
+    def _report(self, rule: str, text: str) -> None:
         self.broken.append(f"{self._now():.2f} {rule}: {text}")
 
-    # --- what tasks do ----------------------------------------------------------------------
+    # --- events of tasks ------------------------------------------------------------------
     def _done(self, job: str, results: set[str]) -> bool:
         missing = self._missing(job, results)
         gang = self.uploads[job]["haul"] == "gang"
@@ -45,165 +48,175 @@
 
     def on(
         self,
-        lift: str,
-        block: str,
-        type_: str,
-        yard: str,
-        loaners: bool,
+        task: str,
+        machine: str,
+        machine_type: str,
+        zone: str,
+        spot: bool,
         results: set[str] = frozenset(),  # type: ignore[assignment]
         ordered_at: float | None = None,
     ) -> None:
-        """`ordered_at`: the command was sent no earlier than this."""
+        """Records the start of a task and checks it.
+
+        `ordered_at` is a lower bound for when the command was sent.
+        """
         self.starts += 1
-        name = lift.rpartition("/")[0]
+        name = task.rpartition("/")[0]
         job = self.uploads[name]
         for needed in job.get("waits_on") or ():
             if not self._done(needed, results):
-                self._break("too_early", f"{lift}, and {needed} is not done")
-        if self.places.get(lift):
-            self._break("ran_twice", f"{lift} on {block} and {sorted(self.places[lift])}")
-        others = self._yards.setdefault(name, Counter())
+                self._report("too_early", f"{task}, and {needed} is not done")
+        if self.places.get(task):
+            self._report("ran_twice", f"{task} on {machine} and {sorted(self.places[task])}")
+        others = self._task_zones.setdefault(name, Counter())
         if (
-            (loaners and not job["loaners"])
-            or job.get("yard") not in (None, yard)
-            or (job.get("rig_models") is not None and type_ not in job["rig_models"])
+            (spot and not job["loaners"])
+            or job.get("yard") not in (None, zone)
+            or (job.get("rig_models") is not None and machine_type not in job["rig_models"])
         ):
-            self._break("wrong_place", f"{lift} on {block} in {yard}")
-        if job["same_place"] and others.total() > others[yard]:
-            self._break("wrong_place", f"{lift} in {yard}, others in {set(others)}")
-        if job["spread"] and others[yard] + 1 > (job["lifts"] + 1) // 2:
-            self._break("wrong_place", f"{lift}: too many in {yard}")
-        self._put(lift, block, yard)
+            self._report("wrong_place", f"{task} on {machine} in {zone}")
+        if job["same_place"] and others.total() > others[zone]:
+            self._report("wrong_place", f"{task} in {zone}, others in {set(others)}")
+        if job["spread"] and others[zone] + 1 > (job["lifts"] + 1) // 2:
+            self._report("wrong_place", f"{task}: too many in {zone}")
+        self._add_task(task, machine, zone)
         self.changes.append((self._now(), name, 1))
-        told_at = self._told_cancelled(name)
-        if told_at < self._now():
+        cancelled_at = self._cancelled_at(name)
+        if cancelled_at < self._now():
             self.late_starts += 1
-            if ordered_at is not None and ordered_at > told_at:
-                self._break("started_cancelled", f"{lift} on {block}, ordered at {ordered_at:.2f}")
-        limit = self._limits[job["crew"]]
-        used = self._used(job["crew"])
+            if ordered_at is not None and ordered_at > cancelled_at:
+                self._report(
+                    "started_cancelled", f"{task} on {machine}, ordered at {ordered_at:.2f}"
+                )
+        limit = self._quotas[job["crew"]]
+        used = self._record_usage(job["crew"])
         if limit and used > limit:
-            self._break("quota", f"{job['crew']} uses {used} of {limit}")
+            self._report("quota", f"{job['crew']} uses {used} of {limit}")
         self.check_cancelled()
 
-    def _put(self, lift: str, block: str, yard: str) -> None:
-        name = lift.rpartition("/")[0]
-        if block not in self.places.setdefault(lift, {}):
-            self._yards.setdefault(name, Counter())[yard] += 1
-            self._use(name, 1)
-        self.places[lift][block] = yard
-
-    def _take(self, lift: str, block: str) -> bool:
-        """Whether it was there."""
-        yard = self.places.get(lift, {}).pop(block, None)
-        if yard is None:
+    def _add_task(self, task: str, machine: str, zone: str) -> None:
+        name = task.rpartition("/")[0]
+        if machine not in self.places.setdefault(task, {}):
+            self._task_zones.setdefault(name, Counter())[zone] += 1
+            self._count_usage(name, 1)
+        self.places[task][machine] = zone
+
+    def _remove_task(self, task: str, machine: str) -> bool:
+        """Returns whether the task was recorded on that machine."""
+        zone = self.places.get(task, {}).pop(machine, None)
+        if zone is None:
             return False
-        name = lift.rpartition("/")[0]
-        self._yards[name] -= Counter({yard: 1})
-        self._use(name, -1)
+        name = task.rpartition("/")[0]
+        self._task_zones[name] -= Counter({zone: 1})
+        self._count_usage(name, -1)
         return True
 
-    def _use(self, name: str, tasks: int) -> None:
+    def _count_usage(self, name: str, tasks: int) -> None:
         team = self.uploads[name]["crew"]
         amount = round(self.uploads[name]["accelerators"] * 1000) * tasks
-        self._milli_used[team] = self._milli_used.get(team, 0) + amount
+        self._used_millis[team] = self._used_millis.get(team, 0) + amount
 
-    def _in_use(self, team: str) -> float:
-        return self._milli_used.get(team, 0) / 1000
+    def _usage_of(self, team: str) -> float:
+        return self._used_millis.get(team, 0) / 1000
 
-    def already(self, lift: str, block: str, yard: str) -> None:
-        """A task that runs there from before the checker began to watch."""
-        self._put(lift, block, yard)
+    def already(self, task: str, machine: str, zone: str) -> None:
+        """Records a task that was running before the checker was started."""
+        self._add_task(task, machine, zone)
 
-    def _used(self, team: str) -> float:
-        used = self._in_use(team)
+    def _record_usage(self, team: str) -> float:
+        used = self._usage_of(team)
         self.usage.setdefault(team, []).append(used)
         return used
 
     def under_limit(self, team: str, more: float) -> bool:
-        limit = self._limits[team]
-        return not limit or self._in_use(team) + more <= limit
+        limit = self._quotas[team]
+        return not limit or self._usage_of(team) + more <= limit
 
-    def off(self, lift: str, block: str) -> None:
+    def off(self, task: str, machine: str) -> None:
         self.check_cancelled()
-        if self._take(lift, block):
-            self.changes.append((self._now(), lift.rpartition("/")[0], -1))
-            self._used(self.uploads[lift.rpartition("/")[0]]["crew"])
+        if self._remove_task(task, machine):
+            self.changes.append((self._now(), task.rpartition("/")[0], -1))
+            self._record_usage(self.uploads[task.rpartition("/")[0]]["crew"])
 
     def check_cancelled(self) -> None:
         if not self.cancelled:
             return
-        for lift, blocks in self.places.items():
-            at = self._told_cancelled(lift.rpartition("/")[0])
-            if blocks and self._now() - at > self._cancel_s:
-                self._break("ran_cancelled", f"{lift} on {sorted(blocks)}")
+        for task, machines in self.places.items():
+            at = self._cancelled_at(task.rpartition("/")[0])
+            if machines and self._now() - at > self._cancel_s:
+                self._report("ran_cancelled", f"{task} on {sorted(machines)}")
 
-    def _told_cancelled(self, job: str) -> float:
-        """When a user first heard that it is cancelled, or one that it needs."""
-        return min(self.cancelled.get(x, float("inf")) for x in {job, *self._needed(job)})
+    def _cancelled_at(self, job: str) -> float:
+        """When a user first learned that the job or a prerequisite of it is cancelled."""
+        return min(self.cancelled.get(x, float("inf")) for x in {job, *self._prerequisites(job)})
 
-    # --- what users hear ----------------------------------------------------------------------
+    # --- answers to users -----------------------------------------------------------------
     def told(
-        self, job: str, status: int, state: str, results: set[str], began: float | None = None
+        self,
+        job: str,
+        status: int,
+        state: str,
+        results: set[str],
+        requested_at: float | None = None,
     ) -> None:
-        """An answer, at the moment of its coming; `began`: when the request for it was sent.
+        """Checks an answer when it arrives; `requested_at` is when its request was sent.
 
-        Answers cross on their way. One to a request that began after another had been received may
-        not be older than that one, whichever nodes gave them; one to a request that was on its way
-        already may be.
+        Answers may overtake each other. If a request is sent after another answer has arrived, its
+        answer must not be older than that one, whichever nodes gave them. If the request was
+        already under way, its answer may be older.
         """
-        began = self._now() if began is None else began
-        known = self.accepted_at.get(job, float("inf")) <= began
+        requested_at = self._now() if requested_at is None else requested_at
+        known = self.accepted_at.get(job, float("inf")) <= requested_at
         if job in self.unfit and status in (200, 201):
-            self._break("unfit", f"{job} is accepted: {self.unfit[job]}")
+            self._report("unfit", f"{job} is accepted: {self.unfit[job]}")
             return
         if status == 404 and known:
-            self._break("forgotten", f"{job} was accepted, now 404")
+            self._report("forgotten", f"{job} was accepted, now 404")
         if status in (400, 422) and known:
-            self._break("forgotten", f"{job} was accepted, a repeat gets {status}")
+            self._report("forgotten", f"{job} was accepted, a repeat gets {status}")
         if status not in (200, 201):
             return
         if job not in self.uploads:
-            self._break("invented", job)
+            self._report("invented", job)
             return
         first_heard = job not in self.accepted_at
-        final_at, final = self._final.get(job, (float("inf"), ""))
-        over = state in ("done", "cancelled")
-        if final and state != final and (over or final_at <= began):
-            self._break("went_back", f"{job} from {final} to {state}")
-        by_another = any(x in self.cancelled for x in self._needed(job))
+        final_at, final_state = self._final_states.get(job, (float("inf"), ""))
+        is_final = state in ("done", "cancelled")
+        if final_state and state != final_state and (is_final or final_at <= requested_at):
+            self._report("went_back", f"{job} from {final_state} to {state}")
+        by_another = any(x in self.cancelled for x in self._prerequisites(job))
         if state == "cancelled" and job not in self.cancelled and not by_another:
-            self._break("went_back", f"{job} cancelled by nobody")
+            self._report("went_back", f"{job} cancelled by nobody")
         if state == "done" and not self._done(job, results):
-            self._break("not_done", f"{job}: {self._missing(job, results)[:5]}")
-        if not over and not first_heard and self._orphan(job):
-            self._break("orphaned", f"{job} is {state}")
+            self._report("not_done", f"{job}: {self._missing(job, results)[:5]}")
+        if not is_final and not first_heard and self._is_orphaned(job):
+            self._report("orphaned", f"{job} is {state}")
         self.accepted_at.setdefault(job, self._now())
-        if over:
-            self._final.setdefault(job, (self._now(), state))
-        if first_heard and self._needs_cancelled(job):
-            # Submitted after the cancellation was told: its own time begins with its acceptance.
+        if is_final:
+            self._final_states.setdefault(job, (self._now(), state))
+        if first_heard and self._needs_cancelled_job(job):
+            # Submitted after its prerequisite was cancelled: its time limit starts at acceptance.
             self.cancelled.setdefault(job, self._now())
 
     def polled(self, job: str, answered: bool) -> None:
-        """PROTOCOL: every poll of a job fails for 90 s while most others are answered."""
+        """Records a poll; reports a job whose polls fail for 90 s while most others succeed."""
         now = self._now()
         if self.accepted_at.get(job, now) >= now:
             return
         self._polls.append((now, job, answered))
-        since = self._unanswered.setdefault(job, now)
+        since = self._unanswered_since.setdefault(job, now)
         if answered:
-            del self._unanswered[job]
+            del self._unanswered_since[job]
         elif now - since > FORGOTTEN_S:
             others = [ok for at, other, ok in self._polls if at >= since and other != job]
             if sum(others) > len(others) / 2:
-                self._break("forgotten", f"{job} is not answered since {since:.1f}")
+                self._report("forgotten", f"{job} has had no answer since {since:.1f}")
 
     def know(self, job: str, status: str) -> None:
-        """Told by nodes before this scenario began."""
+        """Records what nodes told users of a job before this scenario began."""
         self.accepted_at[job] = self._now()
         if status != "open":
-            self._final[job] = (self._now(), status)
+            self._final_states[job] = (self._now(), status)
         if status == "cancelled":
             self.cancelled[job] = self._now()
 
@@ -211,20 +224,20 @@
         return job in self.accepted_at
 
     def heard_over(self, job: str) -> bool:
-        return job in self._final
+        return job in self._final_states
 
     def asked_to_cancel(self, job: str) -> bool:
-        """It, or one that it needs."""
-        return any(x in self.cancelled for x in {job, *self._needed(job)})
+        """Whether cancellation of the job or a prerequisite of it was requested."""
+        return any(x in self.cancelled for x in {job, *self._prerequisites(job)})
 
     def done(self, job: str, results: set[str]) -> bool:
         return self._done(job, results)
 
-    def _needs_cancelled(self, job: str) -> bool:
-        return any(self.cancelled.get(x, 1e18) < 1e18 for x in self._needed(job))
+    def _needs_cancelled_job(self, job: str) -> bool:
+        return any(self.cancelled.get(x, 1e18) < 1e18 for x in self._prerequisites(job))
 
-    def _needed(self, job: str) -> set[str]:
-        """All jobs that it needs, directly or through others."""
+    def _prerequisites(self, job: str) -> set[str]:
+        """All jobs that the job depends on, directly or transitively."""
         found: set[str] = set()
         left = list(self.uploads[job].get("waits_on") or ())
         while left:
@@ -234,8 +247,8 @@
                 left += self.uploads[name].get("waits_on") or ()
         return found
 
-    def _orphan(self, job: str) -> bool:
-        told = [self.cancelled[x] for x in self._needed(job) if x in self.cancelled]
+    def _is_orphaned(self, job: str) -> bool:
+        told = [self.cancelled[x] for x in self._prerequisites(job) if x in self.cancelled]
         return any(
             self._now() - max(at, self.cancelled.get(job, at)) > self._cancel_s for at in told
         )
--- a/standins/services.py
+++ b/standins/services.py
@@ -1,6 +1,6 @@
-"""Named services in a scenario or an experiment: operators, copies, consumers, and a checker.
+"""Operators, consumers and a checker of named services, for scenarios and experiments.
 
-The checker samples at every change what copies truly are, not what the leader thinks of them.
+The checker samples the true health of copies at every change, not the leader's view of it.
 """
 
 import asyncio
@@ -15,24 +15,24 @@
 from pulleydeal.http import Client, NoAnswer
 from standins.copies import Copies
 
-TRIES = 3  # a consumer asks so many copies before it gives up
-PATIENCE_S = 1.0  # and waits so long for each
-AVOID_S = 5.0  # a copy that did not answer is left alone so long, as clients do
+TRIES = 3  # number of copies that a consumer asks before it gives up
+REQUEST_TIMEOUT_S = 1.0
+AVOID_S = 5.0  # how long consumers avoid a copy that did not answer
 
 
 @dataclass
 class Floor:
-    """What is promised of one service, and how often and how far it was missed."""
+    """The least number of healthy copies of a service, and the violations seen."""
 
     least: int
-    from_: float  # from when it is promised
+    from_: float  # time from which the floor must hold
     fewest: int = 10**6
     missed: list[str] = field(default_factory=list)
     ranges: list[tuple[float, float]] = field(default_factory=list)  # when it need not hold
 
 
 def toml(values: dict[str, Any]) -> str:
-    """A description's text; tables (`check`) come last, as TOML wants it."""
+    """Formats a description; tables (`check`) come last, as TOML requires."""
     plain = {k: v for k, v in values.items() if not isinstance(v, dict)}
     lines = [f"{k} = {json.dumps(v)}" for k, v in plain.items()]
     for name, table in values.items():
@@ -42,38 +42,38 @@
 
 
 class Operator:
-    """Asks the operators' interface of one node after the other until one decides."""
+    """Asks the operators' interfaces of the nodes in turn until one gives a final answer."""
 
     def __init__(self, addresses: dict[str, str], clock: Clock) -> None:
         self.addresses, self._clock = addresses, clock
 
     async def ask(self, method: str, path: str, text: str = "", tries: int = 30) -> tuple[int, Any]:
-        for turn in range(tries):
-            name = sorted(self.addresses)[turn % len(self.addresses)]
+        for attempt in range(tries):
+            name = sorted(self.addresses)[attempt % len(self.addresses)]
             client = Client(self.addresses[name], self._clock)
             try:
-                status, raw = await client.send(method, path, text.encode(), 5.0)
+                status, reply = await client.send(method, path, text.encode(), 5.0)
             except NoAnswer:
-                status, raw = 0, b"{}"
+                status, reply = 0, b"{}"
             client.close()
             if status in (200, 400, 404, 409, 422):
-                return status, json.loads(raw)
+                return status, json.loads(reply)
             await asyncio.sleep(1.0)
         return 0, {}
 
 
 class Consumer:
-    """Reads a service's endpoints by long poll and sends requests to them in turn."""
+    """Follows a service's endpoints by long polling and sends requests to them in turn."""
 
     def __init__(self, service: str, nodes: dict[str, str], clock: Clock) -> None:
         self._service, self._nodes, self._clock = service, nodes, clock
         self.ready: list[str] = []
         self.revision = -1
-        self.went_back = 0  # revisions that were older than one before
-        self.answers: Counter[str] = Counter()  # of requests: "200", "500", "none"
-        self.first: Counter[str] = Counter()  # of first tries
+        self.went_back = 0  # answers with an older revision than one before
+        self.answers: Counter[str] = Counter()  # final results of requests: status, or "none"
+        self.first: Counter[str] = Counter()  # results of first tries
         self._turn = itertools.count()
-        self._silent: dict[str, float] = {}  # address -> when it last did not answer
+        self._timed_out_at: dict[str, float] = {}  # address -> time of its last time-out
 
     async def follow(self) -> None:
         names = itertools.cycle(sorted(self._nodes))
@@ -82,12 +82,12 @@
             path = f"/services/{self._service}/endpoints?after={self.revision}&hold_ms=5000"
             client = Client(self._nodes[name], self._clock)
             try:
-                status, raw = await client.request("GET", path, None, 7.0)
+                status, reply = await client.request("GET", path, None, 7.0)
             except NoAnswer:
-                status, raw = 0, b""
+                status, reply = 0, b""
             client.close()
             if status == 200:
-                found = json.loads(raw)
+                found = json.loads(reply)
                 if found["revision"] >= self.revision:
                     self.revision = found["revision"]
                     self.ready = [e["address"] for e in found["ready"]]
@@ -98,36 +98,36 @@
                 await asyncio.sleep(0.2)
 
     async def request(self) -> str:
-        """One request: at up to TRIES copies, until one says 200."""
-        word = "none"
+        """Sends one request to up to TRIES copies, until one answers 200."""
+        result = "none"
         tried: set[str] = set()
-        for nth in range(TRIES):
-            address = self._next(tried)
+        for attempt in range(TRIES):
+            address = self._next_address(tried)
             if address is None:
                 await asyncio.sleep(0.2)
                 continue
             tried.add(address)
             client = Client(address, self._clock)
             try:
-                status, _ = await client.request("GET", "/work", None, PATIENCE_S)
-                word = str(status)
+                status, _ = await client.request("GET", "/work", None, REQUEST_TIMEOUT_S)
+                result = str(status)
             except NoAnswer:
-                word = "none"
-                self._silent[address] = self._clock.now()
+                result = "none"
+                self._timed_out_at[address] = self._clock.now()
             client.close()
-            if nth == 0:
-                self.first[word] += 1
-            if word == "200":
+            if attempt == 0:
+                self.first[result] += 1
+            if result == "200":
                 break
-        self.answers[word] += 1
-        return word
+        self.answers[result] += 1
+        return result
 
-    def _next(self, tried: set[str]) -> str | None:
-        """The next in turn that was not tried, and did not just keep silent, if there is one."""
+    def _next_address(self, tried: set[str]) -> str | None:
+        """The next untried copy in turn; copies that timed out recently only as a last resort."""
         now = self._clock.now()
-        left = [x for x in self.ready if x not in tried]
-        good = [x for x in left if now - self._silent.get(x, -1e9) > AVOID_S]
-        choice = good or left
+        untried = [x for x in self.ready if x not in tried]
+        preferred = [x for x in untried if now - self._timed_out_at.get(x, -1e9) > AVOID_S]
+        choice = preferred or untried
         return choice[next(self._turn) % len(choice)] if choice else None
 
     async def steadily(self, every_s: float) -> None:
@@ -140,7 +140,7 @@
 
 
 class Watcher:
-    """Holds what copies truly are against the floors, at every change and every step of time."""
+    """Checks the floors against the true health of copies, at every change and every 50 ms."""
 
     def __init__(self, copies: Copies, now: Callable[[], float]) -> None:
         self._copies, self._now = copies, now
--- a/standins/town.py
+++ b/standins/town.py
@@ -1,7 +1,7 @@
-"""A small world on loopback: state service, cloud and workers here, nodes as own processes.
+"""A small cluster on loopback: simulated services and workers here, nodes as own processes.
 
-The demo and the experiments run in it. Everything listens on 127.0.0.1; the ports are free ones,
-unless a first one is named.
+The demo and the experiments use it. Everything listens on 127.0.0.1, on free ports or on
+consecutive ones from a given first port.
 """
 
 import asyncio
@@ -17,25 +17,25 @@
 from pulleydeal.clock import SystemClock
 from pulleydeal.http import Client, NoAnswer
 from standins.cloud import CloudService
-from standins.copies import Copies, look_up
+from standins.copies import Copies, find_description
 from standins.rules import Rules
 from standins.scenario import TYPE, ZONES
 from standins.state import StateService
-from standins.worker import Times, Worker, World
+from standins.worker import Worker, WorkerEnvironment, WorkerTimings
 
 ROOT = Path(__file__).resolve().parent.parent
 LOCAL = "127.0.0.1"
-UP_S = 30.0  # until a node serves, usually
-BOOT_S = 3.0  # machines of this world boot faster than real ones
+NODE_START_S = 30.0  # default limit for a node to start serving
+BOOT_S = 3.0  # shorter than on real machines
 PORTS_PER_NODE = 3  # users and workers, other nodes, operators
 
 
 class TownError(Exception):
-    """The world can't start; the text is one clear line."""
+    """The cluster can't start; the message is one line for the user."""
 
 
 class Uploads(dict[str, dict[str, Any]]):
-    """Job descriptions by id: what was submitted here, or else files of users."""
+    """Job descriptions by id: those submitted in this process, or else JSON files of users."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__()
@@ -50,33 +50,37 @@
 
 
 def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind((LOCAL, 0))
-        return int(probe.getsockname()[1])
+    with socket.socket() as sock:
+        sock.bind((LOCAL, 0))
+        return int(sock.getsockname()[1])
 
 
-def taken(port: int) -> bool:
-    with socket.socket() as probe:
-        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+def is_taken(port: int) -> bool:
+    with socket.socket() as sock:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            probe.bind((LOCAL, port))
+            sock.bind((LOCAL, port))
         except OSError:
             return True
     return False
 
 
 def ports(first: int | None, count: int) -> Iterator[int]:
-    """Free ports, or those from `first` on; TownError names the first that is in use."""
+    """Yields free ports, or those from `first` on; raises TownError for one that is in use."""
     if first is None:
         yield from (free_port() for _ in range(count))
         return
     for port in range(first, first + count):
-        if taken(port):
-            raise TownError(f"port {port} is in use: end what holds it, or name others by --port")
+        if is_taken(port):
+            raise TownError(
+                f"port {port} is in use: stop the process that uses it, or choose others by --port"
+            )
         yield port
 
 
 class Town:
+    """Nodes as processes, with the simulated services and workers of this process."""
+
     def __init__(
         self,
         folder: Path,
@@ -87,40 +91,55 @@
         capacity: int = 4,
         features: str = "",
     ) -> None:
-        """`limits`: of the state service, as settings name them; `features`: text of a
-        features file, in which `{operators}` stands for the node's own operators' port."""
+        """`limits` are those of the state service, under their names in settings.
+
+        `features` is the text of a features file, in which `{operators}` is replaced by the port
+        of the node's operators' interface.
+        """
         self.folder = folder
         self._teams = teams or [{"name": "core"}]
         self._limits = {"rps": 200.0, "write_rps": 80.0, "value_kb": 8.0, "txn_ops": 32}
         self._limits |= limits or {}
         self._features = features
-        found = list(ports(first_port, nodes * PORTS_PER_NODE + 2))
-        self.state_addr, self.cloud_addr = (f"{LOCAL}:{port}" for port in found[:2])
-        own = [found[i : i + PORTS_PER_NODE] for i in range(2, len(found), PORTS_PER_NODE)]
+        all_ports = list(ports(first_port, nodes * PORTS_PER_NODE + 2))
+        self.state_addr, self.cloud_addr = (f"{LOCAL}:{port}" for port in all_ports[:2])
+        node_ports = [
+            all_ports[i : i + PORTS_PER_NODE] for i in range(2, len(all_ports), PORTS_PER_NODE)
+        ]
         names = [f"node-{i}" for i in range(nodes)]
-        self.nodes = {name: f"{LOCAL}:{p[0]}" for name, p in zip(names, own, strict=True)}
-        self._back = {name: f"{LOCAL}:{p[1]}" for name, p in zip(names, own, strict=True)}
-        self.operators = {name: p[2] for name, p in zip(names, own, strict=True)}
-        self.told = False  # whether operators are told where to ask
-        self.up_s = UP_S  # a node that does not serve by then has failed
+        self.nodes = {
+            name: f"{LOCAL}:{own_ports[0]}"
+            for name, own_ports in zip(names, node_ports, strict=True)
+        }
+        self._node_endpoints = {
+            name: f"{LOCAL}:{own_ports[1]}"
+            for name, own_ports in zip(names, node_ports, strict=True)
+        }
+        self.operators = {
+            name: own_ports[2] for name, own_ports in zip(names, node_ports, strict=True)
+        }
+        self.show_operators = False  # whether the demo prints the operators' addresses
+        self.up_s = NODE_START_S  # a node that takes longer to serve has failed
         self.zone_of = {name: ZONES[i % len(ZONES)] for i, name in enumerate(names)}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.ended: dict[str, int] = {}  # nodes that ended by themselves -> exit code
+        self.ended: dict[str, int] = {}  # nodes that exited unasked -> exit code
         self.clock = SystemClock()
         self.rules = Rules({t["name"]: t.get("gpus_max", 0.0) for t in self._teams}, 34.0, self.now)
         self.rules.uploads = Uploads(folder / "jobs")
-        self._world = World(self.rules, self.rules.uploads)
+        self._environment = WorkerEnvironment(self.rules, self.rules.uploads)
         self.copies = Copies(self.clock, self.nodes)
-        self._world.look_up = lambda name: look_up(self.state.keys, name)
-        self._world.ends = self.copies.end
-        self._world.runs = lambda worker, lift, running: self.copies.start(
-            lift, running.pull, running.job, f"{LOCAL}:{free_port()}"
+        self._environment.find_description = lambda name: find_description(self.state.keys, name)
+        self._environment.on_task_stopped = self.copies.end
+        self._environment.on_replica_started = lambda worker, task_id, running: self.copies.start(
+            task_id, running.attempt, running.job, f"{LOCAL}:{free_port()}"
         )
         self.workers: dict[str, tuple[Worker, asyncio.Task[None]]] = {}
         self.state = StateService(1)
-        places = {(zone, spot): capacity for zone in ZONES for spot in (False, True)}
-        type_ = TYPE | {"ready_s": BOOT_S}
-        self.cloud = CloudService([type_], places, self.clock, self._boot, self._stop)
+        capacities = {(zone, spot): capacity for zone in ZONES for spot in (False, True)}
+        machine_type = TYPE | {"ready_s": BOOT_S}
+        self.cloud = CloudService(
+            [machine_type], capacities, self.clock, self._boot_machine, self._stop_machine
+        )
         self._tasks: list[asyncio.Task[Any]] = []
         self._logs: list[Any] = []
 
@@ -133,10 +152,10 @@
             "node_name": name,
             "zone": self.zone_of[name],
             "api_addr": self.nodes[name],
-            "back": self._back[name],
+            "back": self._node_endpoints[name],
             "siblings": [
-                {"node_name": n, "zone": self.zone_of[n], "endpoint": back}
-                for n, back in self._back.items()
+                {"node_name": n, "zone": self.zone_of[n], "endpoint": endpoint}
+                for n, endpoint in self._node_endpoints.items()
                 if n != name
             ],
             "endpoints": {"cloud": self.cloud_addr, "state": self.state_addr},
@@ -156,13 +175,13 @@
         }
 
     async def start(self) -> None:
-        """The outside systems, then all nodes; returns when each of them serves."""
+        """Starts the simulated services, then all nodes; returns when every node serves."""
         (self.folder / "jobs").mkdir(parents=True, exist_ok=True)
         limits = self._limits
         self.state.limit(limits["value_kb"], limits["txn_ops"], limits["write_rps"])
         for service, address in ((self.state, self.state_addr), (self.cloud, self.cloud_addr)):
             task = asyncio.ensure_future(service.run(address))
-            task.add_done_callback(_told)
+            task.add_done_callback(_report_failure)
             self._tasks.append(task)
         for name in self.nodes:
             await self.start_node(name)
@@ -175,23 +194,33 @@
         features.write_text(self._features.replace("{operators}", str(self.operators[name])))
         log = (self.folder / f"{name}.log").open("ab")
         self._logs.append(log)
-        words = [str(ROOT / "run.py"), "serve", "--config", str(path), "--features", str(features)]
+        command = [
+            str(ROOT / "run.py"),
+            "serve",
+            "--config",
+            str(path),
+            "--features",
+            str(features),
+        ]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdout=log, stderr=log, env=os.environ | {"PYTHONPATH": ""}
+            sys.executable, *command, stdout=log, stderr=log, env=os.environ | {"PYTHONPATH": ""}
         )
         self.processes[name] = process
-        task = asyncio.ensure_future(self._watch(name, process))
-        task.add_done_callback(_told)
+        task = asyncio.ensure_future(self._wait_for_exit(name, process))
+        task.add_done_callback(_report_failure)
         self._tasks.append(task)
 
-    async def _watch(self, name: str, process: asyncio.subprocess.Process) -> None:
+    async def _wait_for_exit(self, name: str, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         if self.processes.get(name) is process:
             del self.processes[name]
             self.ended[name] = code
 
     async def until_up(self, name: str) -> float:
-        """Seconds until a node serves; TownError with the end of its log if it never does."""
+        """Waits for a node to serve and returns the seconds it took.
+
+        Raises TownError with the last line of its log if it does not serve in time.
+        """
         began = self.now()
         client = Client(self.nodes[name], self.clock)
         try:
@@ -203,7 +232,7 @@
         finally:
             client.close()
         last = (self.folder / f"{name}.log").read_text().strip().splitlines()[-1:]
-        raise TownError(f"{name} does not serve: {''.join(last) or 'it said nothing'}")
+        raise TownError(f"{name} does not serve: {''.join(last) or 'its log is empty'}")
 
     def kill(self, name: str) -> None:
         process = self.processes.pop(name)
@@ -223,39 +252,41 @@
             log.close()
 
     # --- machines ---------------------------------------------------------------------------
-    def _boot(self, block: str, kind: dict[str, Any], yard: str, loaners: bool) -> str:
+    def _boot_machine(
+        self, machine: str, machine_type: dict[str, Any], zone: str, spot: bool
+    ) -> str:
         address = f"{LOCAL}:{free_port()}"
         worker = Worker(
-            block,
+            machine,
             address,
-            kind,
-            yard,
-            loaners,
+            machine_type,
+            zone,
+            spot,
             self.nodes,
-            self._world,
-            Times(),
+            self._environment,
+            WorkerTimings(),
             self.clock,
-            block,
+            machine,
         )
         task = asyncio.ensure_future(worker.run())
-        task.add_done_callback(_told)
-        self.workers[block] = (worker, task)
+        task.add_done_callback(_report_failure)
+        self.workers[machine] = (worker, task)
         return address
 
-    def _stop(self, block: str) -> None:
-        if block in self.workers:
-            worker, task = self.workers.pop(block)
-            worker.vanish()
+    def _stop_machine(self, machine: str) -> None:
+        if machine in self.workers:
+            worker, task = self.workers.pop(machine)
+            worker.terminate()
             task.cancel()
 
 
-def _told(task: asyncio.Task[Any]) -> None:
+def _report_failure(task: asyncio.Task[Any]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        print(f"a stand-in failed: {task.exception()!r}", file=sys.stderr, flush=True)
+        print(f"simulated service failed: {task.exception()!r}", file=sys.stderr, flush=True)
 
 
 def job(name: str, **changes: Any) -> dict[str, Any]:
-    """A small array by PROTOCOL, as users submit it."""
+    """The submission of a small array job; `changes` replace its fields."""
     body: dict[str, Any] = {
         "name_id": name,
         "rig": "demo",
--- a/standins/troubles.py
+++ b/standins/troubles.py
@@ -1,4 +1,4 @@
-"""A scenario's events that bring about troubles between machines, nodes and the state service."""
+"""Scenario events that inject faults into machines, nodes, network and services."""
 
 import asyncio
 import math
@@ -11,38 +11,40 @@
 if TYPE_CHECKING:
     from standins.scenario import Scenario
 
-WORKERS = "10.1."  # workers' addresses begin so
-FORGOTTEN_S = 75.0  # acceptance: unanswered so long, once all troubles are over, is forgotten
+WORKER_IP_PREFIX = "10.1."  # prefix of the IP addresses of workers
+FORGOTTEN_AFTER_S = 75.0  # acceptance: a job unanswered this long after all faults is lost
 
 
 class Troubles:
-    """Mixed into the scenario, whose hosts, network and services these are."""
+    """Mixin of `Scenario`, which owns the hosts, the network and the services."""
 
-    def do_mute(self: "Scenario", who: str, other: str = "1") -> None:
-        if who in self._nodes:
-            x, y = self._nodes[who], self._nodes[other]
+    def do_mute(self: "Scenario", selector: str, other: str = "1") -> None:
+        if selector in self._nodes:
+            x, y = self._nodes[selector], self._nodes[other]
             self._network.one_way(lambda f, t: f.ip == x and t.ip == y, keep=True)
             return
         nodes = set(self._nodes.values())
-        self._network.mute(self._some_hosts(who, other), lambda t: t.ip in nodes)
-
-    def _some_hosts(self: "Scenario", what: str, share: str) -> list[Host]:
-        found = self._blocks(what)
-        return [self._hosts[block] for block in found[: math.ceil(float(share) * len(found))]]
-
-    def do_hang(self: "Scenario", what: str, for_s: str, share: str = "1") -> None:
-        found = self._blocks(what)
-        for block in found[: math.ceil(float(share) * len(found))]:
-            self._hang(block, float(for_s))
-
-    def _hang(self: "Scenario", block: str, for_s: float) -> None:
-        worker = self._workers[block]
-        self._freeze(self._hosts[block], for_s)
-        left_s = worker.lease_end_s() - self._loop.time()
-        if left_s < for_s:
-            self._loop.call_later(max(0.0, left_s) + 0.01, worker.lapse_if_over)
-
-    def _freeze(self: "Scenario", host: Host, for_s: float) -> None:
+        self._network.mute(self._select_hosts(selector, other), lambda t: t.ip in nodes)
+
+    def _select_hosts(self: "Scenario", selector: str, share: str) -> list[Host]:
+        machines = self._select_machines(selector)
+        return [
+            self._hosts[machine] for machine in machines[: math.ceil(float(share) * len(machines))]
+        ]
+
+    def do_hang(self: "Scenario", selector: str, for_s: str, share: str = "1") -> None:
+        machines = self._select_machines(selector)
+        for machine in machines[: math.ceil(float(share) * len(machines))]:
+            self._freeze_machine(machine, float(for_s))
+
+    def _freeze_machine(self: "Scenario", machine: str, for_s: float) -> None:
+        worker = self._workers[machine]
+        self._freeze_host(self._hosts[machine], for_s)
+        lease_left_s = worker.lease_end_s() - self._loop.time()
+        if lease_left_s < for_s:
+            self._loop.call_later(max(0.0, lease_left_s) + 0.01, worker.expire_lease_if_due)
+
+    def _freeze_host(self: "Scenario", host: Host, for_s: float) -> None:
         host.frozen = True
         self._loop.call_later(for_s, self._loop.thaw, host)
 
@@ -51,67 +53,72 @@
         self._network.cut(lambda x, y: x.ip == ip and y.ip in others)
 
     def do_shun(self: "Scenario", node: str) -> None:
-        ip, regional = self._nodes[node], self._regional
-        self._network.cut(lambda x, y: x.ip == ip and y is regional)
+        ip, service_host = self._nodes[node], self._service_host
+        self._network.cut(lambda x, y: x.ip == ip and y is service_host)
 
     def do_answer_wrongly(
-        self: "Scenario", what: str, share: str, part: str = "1", *ways: str
+        self: "Scenario", selector: str, share: str, part: str = "1", *ways: str
     ) -> None:
-        found = self._blocks(what)
-        for block in found[: math.ceil(float(part) * len(found))]:
-            answers = self._workers[block].wrong_answers
+        machines = self._select_machines(selector)
+        for machine in machines[: math.ceil(float(part) * len(machines))]:
+            answers = self._workers[machine].wrong_answers
             answers.share = float(share)
             answers.ways = [way for way in WRONG_ANSWERS if way in (ways or WRONG_ANSWERS)]
             if unknown := set(ways) - set(WRONG_ANSWERS):
                 raise ValueError(unknown)
 
-    def do_unreached(self: "Scenario", what: str, share: str = "1") -> None:
-        hosts = self._some_hosts(what, share)
+    def do_unreached(self: "Scenario", selector: str, share: str = "1") -> None:
+        hosts = self._select_hosts(selector, share)
         self._network.one_way(lambda f, t: t in hosts and f not in hosts, keep=False)
 
-    def do_hold(self: "Scenario", what: str, seconds: str) -> None:
-        hosts = [self._hosts[block] for block in self._blocks(what)]
+    def do_hold(self: "Scenario", selector: str, seconds: str) -> None:
+        hosts = [self._hosts[machine] for machine in self._select_machines(selector)]
         release = self._network.one_way(lambda f, t: t in hosts and f not in hosts, keep=True)
         self._loop.call_later(float(seconds), release)
 
     def do_late_reports(self: "Scenario", share: str, until: str = "") -> None:
         if until not in ("", "next"):
             raise ValueError(until)
-        self._world.late_reports, self._world.for_next = float(share), until == "next"
-
-    def _view_written(self: "Scenario", key: str) -> None:
-        """A leader begins: what was kept for it reaches every node, as soon as it acts or later."""
-        if key != "p/view" or not self._world.kept:
+        self._world.late_report_share, self._world.hold_until_next_leader = (
+            float(share),
+            until == "next",
+        )
+
+    def _on_state_write(self: "Scenario", key: str) -> None:
+        """On the write of a new view, sends the held reports to every node, with small delays."""
+        if key != "p/view" or not self._world.held_reports:
             return
-        kept, self._world.kept = self._world.kept, []
-        self.reports_kept += len(kept)
-        for report in kept:
+        held, self._world.held_reports = self._world.held_reports, []
+        self.reports_kept += len(held)
+        for report in held:
             for address in self._nodes.values():
-                self._later(self.rng.choice([0.0, 0.01, 0.1, 1.0]), address, "/checkin", report)
+                self._send_later(
+                    self.rng.choice([0.0, 0.01, 0.1, 1.0]), address, "/checkin", report
+                )
 
     def do_link(self: "Scenario", gb_per_s: str) -> None:
         self._world.fetch_gb_per_s = float(gb_per_s)
 
     def do_answers(self: "Scenario") -> None:
-        """All troubles are over: whatever was accepted is known, by every node."""
+        """Once all faults are over, checks that every node knows each accepted job."""
         for job in self.rules.uploads:
             if self.rules.accepted(job):
                 for node in self._nodes:
-                    on_host(self._users, self._known(job, node))
+                    on_host(self._user_host, self._expect_known(job, node))
 
-    async def _known(self: "Scenario", job: str, node: str) -> None:
+    async def _expect_known(self: "Scenario", job: str, node: str) -> None:
         try:
-            async with asyncio.timeout(FORGOTTEN_S):
-                while not await self._once("GET", job, f"/submissions/{job}", None, node):
+            async with asyncio.timeout(FORGOTTEN_AFTER_S):
+                while not await self._ask_node("GET", job, f"/submissions/{job}", None, node):
                     await asyncio.sleep(2.0)
         except TimeoutError:
             self.rules.broken.append(
-                f"{self._loop.time():.2f} forgotten: {job}, {node} tells nothing of it"
+                f"{self._loop.time():.2f} forgotten: {job}, {node} does not know it"
             )
 
     def do_capacity(self: "Scenario", count: str) -> None:
-        for place in self.cloud.capacity:
-            self.cloud.capacity[place] = int(count)
+        for pool in self.cloud.capacity:
+            self.cloud.capacity[pool] = int(count)
 
     def do_boots(self: "Scenario", factor: str) -> None:
         self.cloud.boots = float(factor)
@@ -119,9 +126,10 @@
     def do_crash(self: "Scenario", name: str, for_s: str = str(RESTART_S)) -> None:
         for node in self._nodes if name == "all" else [name]:
             self._network.kill(self._hosts[node])
-            if node in self._starting:
-                self._starting[node].cancel()  # a node is started once, however often it ended
-            self._starting[node] = self._loop.call_later(float(for_s), self._start_node, node)
+            if node in self._restart_timers:
+                # A node that was crashed twice starts only once.
+                self._restart_timers[node].cancel()
+            self._restart_timers[node] = self._loop.call_later(float(for_s), self._start_node, node)
 
     def do_state(self: "Scenario", what: str, node: str = "none", *more: str) -> None:
         if what == "limits":
@@ -160,25 +168,25 @@
             self._network.cut(lambda x, y: x is host)
 
     def do_freeze(self: "Scenario", node: str, for_s: str) -> None:
-        self._freeze(self._hosts[node], float(for_s))
+        self._freeze_host(self._hosts[node], float(for_s))
 
     def do_deafen(self: "Scenario", node: str) -> None:
         host = self._hosts[node]
-        self._network.cut(lambda x, y: x is host and y.ip.startswith(WORKERS))
+        self._network.cut(lambda x, y: x is host and y.ip.startswith(WORKER_IP_PREFIX))
 
     def do_heal(self: "Scenario") -> None:
         self._network.heal()
 
-    def do_die(self: "Scenario", what: str, share: str = "1") -> None:
-        dead = self._blocks(what)
-        for block in dead[: math.ceil(float(share) * len(dead))]:
-            self._workers[block].vanish()
-            self._network.kill(self._hosts[block])
-            self._loop.call_later(FAILED_S, self.cloud.fail, block)
+    def do_die(self: "Scenario", selector: str, share: str = "1") -> None:
+        machines = self._select_machines(selector)
+        for machine in machines[: math.ceil(float(share) * len(machines))]:
+            self._workers[machine].terminate()
+            self._network.kill(self._hosts[machine])
+            self._loop.call_later(FAILED_S, self.cloud.fail, machine)
 
-    def do_sick(self: "Scenario", block: str) -> None:
-        self._workers[block].sick = True
+    def do_sick(self: "Scenario", machine: str) -> None:
+        self._workers[machine].sick = True
 
-    def do_notice(self: "Scenario", block: str, seconds: str) -> None:
-        self._workers[block].reclaim_at = self._loop.time() + float(seconds)
-        self._loop.call_later(float(seconds), self.cloud.remove, block)
+    def do_notice(self: "Scenario", machine: str, seconds: str) -> None:
+        self._workers[machine].reclaim_at = self._loop.time() + float(seconds)
+        self._loop.call_later(float(seconds), self.cloud.remove, machine)
--- a/standins/wrong_answers.py
+++ b/standins/wrong_answers.py
@@ -1,8 +1,8 @@
-"""Ways in which a machine answers an order wrongly, though it is reached and goes on working.
+"""Wrong answers of a machine to an order, although it is reachable and keeps working.
 
-PROTOCOL knows 200 and 409 with the machine's report, and 400. A proxy between, a fault in the
-worker's software or a connection that ends early give others; whether the commands were executed
-then can't be told from the answer.
+PROTOCOL allows 200 and 409 with the machine's report, and 400. A proxy, a fault in the worker's
+software or a truncated connection can produce other answers, from which the controller can't tell
+whether the commands were executed.
 """
 
 import json
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class WrongAnswer:
-    executes: bool  # whether the order's commands are carried out
-    spoil: Callable[[Response], Response]  # makes the wrong answer of the right one
+    executes: bool  # whether the commands of the order are executed
+    corrupt: Callable[[Response], Response]  # turns the right answer into the wrong one
 
 
-def _nonsense(right: Response) -> Response:
-    return Response(right.status, b"[[[")
+def _nonsense(correct: Response) -> Response:
+    return Response(correct.status, b"[[[")
 
 
-def _cut_off(right: Response) -> Response:
-    return Response(right.status, right.body[: len(right.body) // 2])
+def _cut_off(correct: Response) -> Response:
+    return Response(correct.status, correct.body[: len(correct.body) // 2])
 
 
-def _of_another_machine(right: Response) -> Response:
-    return answer(right.status, json.loads(right.body) | {"block": "vm-999999"})
+def _of_another_machine(correct: Response) -> Response:
+    return answer(correct.status, json.loads(correct.body) | {"block": "vm-999999"})
 
 
 def _refused_with_nonsense(_: Response) -> Response:
@@ -50,7 +50,7 @@
 
 
 class WrongAnswers:
-    """How often, and in which of these ways, one machine answers orders wrongly."""
+    """Decides at random which orders one machine answers wrongly, and in which way."""
 
     def __init__(self, seed: str) -> None:
         self._rng = random.Random(seed)
@@ -59,7 +59,7 @@
         self.given = 0
 
     def draw(self) -> WrongAnswer | None:
-        """Of the order that is answered next; None: it is answered as it should be."""
+        """The wrong answer to give to the next order; None: the right one."""
         if self.share <= 0.0 or self._rng.random() >= self.share:
             return None
         self.given += 1
