--- a/experiments/__init__.py
+++ b/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Every measurement that is not the bench's: `python3 -m experiments NAME`."""
+"""Measurements and randomized fault runs beside the benchmark: `python3 -m experiments NAME`."""
--- a/experiments/__main__.py
+++ b/experiments/__main__.py
@@ -12,7 +12,7 @@
 
 from experiments import report as reports
 
-# Each module has ABOUT and `async def run(quick: bool, seed: int) -> Report`.
+# Each module defines ABOUT and `async def run(quick: bool, seed: int) -> Report`.
 NAMES = (
     "answers",
     "cron",
@@ -47,8 +47,8 @@
     parser.add_argument("--only", action="append", default=[], help="scale: only these sweeps")
     options = parser.parse_args()
     module = importlib.import_module(f"experiments.{options.name}")
-    began = time.monotonic()
-    # An experiment that is ended still ends the processes that it started.
+    started = time.monotonic()
+    # Raise SystemExit on SIGTERM so that `finally` blocks stop the child processes.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(128 + signal.SIGTERM))
     if options.days is not None and options.name not in ("profile", "served"):
         parser.error("--days goes with profile or served")
@@ -61,10 +61,10 @@
     else:
         report = asyncio.run(module.run(options.quick, options.seed))
     console = Console(width=max(100, Console().width))
-    reports.show(report, console)
-    reports.write(report, options.out, {"quick": options.quick, "seed": options.seed})
-    took = time.monotonic() - began
-    console.print(f"{took:.0f} s; written to {options.out}", highlight=False)
+    reports.print_report(report, console)
+    reports.write_report(report, options.out, {"quick": options.quick, "seed": options.seed})
+    elapsed_s = time.monotonic() - started
+    console.print(f"{elapsed_s:.0f} s; written to {options.out}", highlight=False)
     return 0 if report.held else 1
 
 
--- a/experiments/capacity.py
+++ b/experiments/capacity.py
@@ -1,6 +1,6 @@
-"""Works out docs/CAPACITY.md's table from the kept results: `python3 -m experiments.capacity`.
+"""Computes the tables of docs/CAPACITY.md from stored results: `python3 -m experiments.capacity`.
 
-A test compares what this prints with the page, so that the page can't go stale in silence.
+A test compares this output with the page, so that an outdated page fails the test.
 """
 
 import json
@@ -11,44 +11,44 @@
 
 from experiments.slopes import Slope, fit
 
-RESULTS = Path(__file__).resolve().parent.parent / "docs" / "capacity"
+RESULTS_DIR = Path(__file__).resolve().parent.parent / "docs" / "capacity"
 BEGIN, END = "<!-- begin: experiments.capacity -->", "<!-- end: experiments.capacity -->"
 
-# --- what the operators expect; a cell is one of five regions ---
-CELLS = 5
-WORKERS = 24_000 // CELLS
-STARTS_PER_S = 3_900 / CELLS
-TASKS = 680_000 // CELLS
-JOBS_A_DAY = 140_000 // CELLS
-TASKS_A_WORKER = 28  # 680,000 on 24,000; as the runs have it
-STARTS_A_WORKER = 3_900 / 24_000  # a second
-CONTROL_MACHINES = 20 // CELLS
-REPORT_S = 3.0
-WORKER_B_PER_S = 3_000.0  # what control may cost a worker
-# --- published limits of the state service (settings of the sites) ---
-CHANGES_PER_S = 80.0
-CHANGES_USED = 0.9  # of them, by `WRITE_SHARE`
-REQUESTS_PER_S = 200.0
-HISTORY_CHANGES = 10_000
-# --- published elsewhere in these pages ---
-BYTES_A_JOB_OVER = 878.0  # docs/ROADMAP.md: a million take 878 MB
+# --- expected load per cell; the deployment consists of five regional cells ---
+CELL_COUNT = 5
+WORKERS_PER_CELL = 24_000 // CELL_COUNT
+CELL_STARTS_PER_S = 3_900 / CELL_COUNT
+TASKS_PER_CELL = 680_000 // CELL_COUNT
+CELL_JOBS_PER_DAY = 140_000 // CELL_COUNT
+TASKS_PER_WORKER = 28  # 680,000 tasks on 24,000 workers, as in the scale runs
+STARTS_PER_WORKER_PER_S = 3_900 / 24_000
+CONTROL_MACHINES_PER_CELL = 20 // CELL_COUNT
+REPORT_INTERVAL_S = 3.0
+REPORT_BUDGET_B_PER_S = 3_000.0  # control traffic allowed per worker
+# --- published limits of the state service, as set in the site files ---
+CHANGE_LIMIT_PER_S = 80.0
+USABLE_CHANGE_SHARE = 0.9  # share of CHANGE_LIMIT_PER_S that nodes use; see `WRITE_SHARE`
+REQUEST_LIMIT_PER_S = 200.0
+WATCH_HISTORY_CHANGES = 10_000
+# --- figures published in other pages of docs/ ---
+BYTES_PER_FINISHED_JOB = 878.0  # docs/ROADMAP.md: one million jobs take 878 MB
 
 
 @dataclass(frozen=True)
-class Line:
-    """One row of the page: what a role needs at the expected size, and what carries it."""
+class CapacityRow:
+    """One table row: a role's requirement at the expected size, and the mechanism that meets it."""
 
     role: str
-    need: str
-    sum: str  # slope x count = figure
+    requirement: str
+    calculation: str  # slope x count = figure
     limit: str
     source: str
-    breaks_at: str  # workers of one cell
+    limit_reached_at: str  # workers of one cell at which the limit is reached
     mechanism: str
 
 
-def load(folder: Path = RESULTS) -> list[dict[str, Any]]:
-    """The kept rows of `experiments scale`."""
+def load(folder: Path = RESULTS_DIR) -> list[dict[str, Any]]:
+    """Returns the stored result rows of `experiments scale`."""
     found = json.loads((folder / "scale.json").read_text())
     rows: list[dict[str, Any]] = found["details"]
     return rows
@@ -66,7 +66,8 @@
     return f"{int(limit / per_worker):,}" if per_worker > 0 else "never"
 
 
-def lines(rows: list[dict[str, Any]]) -> list[Line]:
+def capacity_rows(rows: list[dict[str, Any]]) -> list[CapacityRow]:
+    """Derives all rows of the capacity table from result rows of `experiments scale`."""
     workers, tasks = _sweep(rows, "workers"), _sweep(rows, "tasks")
     raised, held = _sweep(rows, "starts, limits raised"), _sweep(rows, "starts, limits held")
     members = _sweep(rows, "members")
@@ -86,84 +87,95 @@
     ]
 
 
-def _report_bytes(tasks: list[dict[str, Any]]) -> Line:
+def _report_bytes(tasks: list[dict[str, Any]]) -> CapacityRow:
     size = fit(
         [row | {"a worker": row["tasks held"] / row["workers"]} for row in tasks],
         "a worker",
         "bytes a report",
     )
-    bytes_a_report = size.at(TASKS_A_WORKER)
-    reports = 1 / REPORT_S + 2 * STARTS_A_WORKER
-    figure = bytes_a_report * reports
-    return Line(
+    bytes_per_report = size.at(TASKS_PER_WORKER)
+    reports = 1 / REPORT_INTERVAL_S + 2 * STARTS_PER_WORKER_PER_S
+    figure = bytes_per_report * reports
+    return CapacityRow(
         "worker",
         "reports, bytes a second (bodies)",
-        f"{bytes_a_report:,.0f} B x ({1 / REPORT_S:.2f} + {2 * STARTS_A_WORKER:.2f})/s"
+        f"{bytes_per_report:,.0f} B x"
+        f" ({1 / REPORT_INTERVAL_S:.2f} + {2 * STARTS_PER_WORKER_PER_S:.2f})/s"
         f" = {figure:,.0f} B/s",
-        f"{WORKER_B_PER_S:,.0f} B/s",
+        f"{REPORT_BUDGET_B_PER_S:,.0f} B/s",
         _measured(size) + "; one more report for each start and end is assumed",
         "any number",
         "exists: a report names all tasks",
     )
 
 
-def _changes(swept: list[dict[str, Any]], way: str, mechanism: str) -> Line:
-    """The least that a start and its end took: the more wait, the more go into one change."""
-    per_start = min(row["changes/s"] / row["starts/s"] for row in swept if row["starts/s"])
-    most_starts = max(row["starts/s"] for row in swept)
-    figure = per_start * STARTS_PER_S
-    limit = CHANGES_PER_S * CHANGES_USED
-    return Line(
+def _changes(sweep_rows: list[dict[str, Any]], storage: str, mechanism: str) -> CapacityRow:
+    """Uses the fewest changes per start and end over all rates.
+
+    At higher rates more starts wait, so that one change carries more of them.
+    """
+    per_start = min(row["changes/s"] / row["starts/s"] for row in sweep_rows if row["starts/s"])
+    max_starts_per_s = max(row["starts/s"] for row in sweep_rows)
+    figure = per_start * CELL_STARTS_PER_S
+    limit = CHANGE_LIMIT_PER_S * USABLE_CHANGE_SHARE
+    return CapacityRow(
         "leaders of jobs, owners of machines",
-        f"changes a second at the state service, with {way}",
-        f"{per_start:.2f} a start x {STARTS_PER_S:,.0f}/s = {figure:,.0f}/s",
-        f"{limit:.0f}/s of {CHANGES_PER_S:.0f}",
-        f"measured: the least of {len(swept)} rates; at most {most_starts:.0f} starts/s came about",
-        _workers_at(limit / per_start, STARTS_A_WORKER),
+        f"changes a second at the state service, with {storage}",
+        f"{per_start:.2f} a start x {CELL_STARTS_PER_S:,.0f}/s = {figure:,.0f}/s",
+        f"{limit:.0f}/s of {CHANGE_LIMIT_PER_S:.0f}",
+        f"measured: the least of {len(sweep_rows)} rates;"
+        f" at most {max_starts_per_s:.0f} starts/s came about",
+        _workers_at(limit / per_start, STARTS_PER_WORKER_PER_S),
         mechanism,
     )
 
 
-def _requests(workers: list[dict[str, Any]], raised: list[dict[str, Any]]) -> Line:
+def _requests(workers: list[dict[str, Any]], raised: list[dict[str, Any]]) -> CapacityRow:
     by_worker = fit(workers, "workers", "state requests/s")
     by_start = fit(raised, "starts/s", "state requests/s")
-    figure = by_worker.at(0) + by_worker.per_unit * WORKERS + by_start.per_unit * STARTS_PER_S
-    a_worker = by_worker.per_unit + by_start.per_unit * STARTS_A_WORKER
-    return Line(
+    figure = (
+        by_worker.at(0)
+        + by_worker.per_unit * WORKERS_PER_CELL
+        + by_start.per_unit * CELL_STARTS_PER_S
+    )
+    per_worker = by_worker.per_unit + by_start.per_unit * STARTS_PER_WORKER_PER_S
+    return CapacityRow(
         "state service",
         "requests a second",
-        f"{by_worker.at(0):.0f} + {by_worker.per_unit:.4f} x {WORKERS:,}"
-        f" + {by_start.per_unit:.2f} x {STARTS_PER_S:,.0f} = {figure:,.0f}/s",
-        f"{REQUESTS_PER_S:.0f}/s",
+        f"{by_worker.at(0):.0f} + {by_worker.per_unit:.4f} x {WORKERS_PER_CELL:,}"
+        f" + {by_start.per_unit:.2f} x {CELL_STARTS_PER_S:,.0f} = {figure:,.0f}/s",
+        f"{REQUEST_LIMIT_PER_S:.0f}/s",
         f"{_measured(by_worker)}; {_measured(by_start)}",
-        _workers_at(REQUESTS_PER_S - by_worker.at(0), a_worker),
+        _workers_at(REQUEST_LIMIT_PER_S - by_worker.at(0), per_worker),
         "the same: one request packs many jobs",
     )
 
 
-def _cores(workers: list[dict[str, Any]], raised: list[dict[str, Any]]) -> Line:
+def _cores(workers: list[dict[str, Any]], raised: list[dict[str, Any]]) -> CapacityRow:
     by_worker = fit(workers, "workers", "cores of all nodes")
     by_start = fit(raised, "starts/s", "cores of all nodes")
-    figure = by_worker.per_unit * WORKERS + by_start.per_unit * STARTS_PER_S
-    a_worker = by_worker.per_unit + by_start.per_unit * STARTS_A_WORKER
-    return Line(
+    figure = by_worker.per_unit * WORKERS_PER_CELL + by_start.per_unit * CELL_STARTS_PER_S
+    per_worker = by_worker.per_unit + by_start.per_unit * STARTS_PER_WORKER_PER_S
+    return CapacityRow(
         "controllers of a cell",
         "cores",
-        f"{by_worker.per_unit * 1000:.3f} m x {WORKERS:,} + {by_start.per_unit * 1000:.2f} m"
-        f" x {STARTS_PER_S:,.0f} = {figure:.1f}",
-        f"{CONTROL_MACHINES} machines; one process uses one core at most",
+        f"{by_worker.per_unit * 1000:.3f} m x {WORKERS_PER_CELL:,}"
+        f" + {by_start.per_unit * 1000:.2f} m"
+        f" x {CELL_STARTS_PER_S:,.0f} = {figure:.1f}",
+        f"{CONTROL_MACHINES_PER_CELL} machines; one process uses one core at most",
         f"{_measured(by_worker)}; {_measured(by_start)}",
-        f"{_workers_at(3.0, a_worker)} (three processes, all of a core)",
+        f"{_workers_at(3.0, per_worker)} (three processes, all of a core)",
         "to be replaced: several processes a machine, state by owner",
     )
 
 
-def _memory(workers: list[dict[str, Any]]) -> Line:
+def _memory(workers: list[dict[str, Any]]) -> CapacityRow:
     size = fit(workers, "workers", "MB a node")
-    return Line(
+    return CapacityRow(
         "each controller process",
-        f"memory, with {TASKS_A_WORKER} tasks a worker",
-        f"{size.at_zero:.0f} + {size.per_unit:.4f} x {WORKERS:,} = {size.at(WORKERS):.0f} MB",
+        f"memory, with {TASKS_PER_WORKER} tasks a worker",
+        f"{size.at_zero:.0f} + {size.per_unit:.4f} x {WORKERS_PER_CELL:,}"
+        f" = {size.at(WORKERS_PER_CELL):.0f} MB",
         "none stated",
         _measured(size),
         "no limit stated",
@@ -171,12 +183,12 @@
     )
 
 
-def _history() -> Line:
-    figure = JOBS_A_DAY * BYTES_A_JOB_OVER / 1e6
-    return Line(
+def _history() -> CapacityRow:
+    figure = CELL_JOBS_PER_DAY * BYTES_PER_FINISHED_JOB / 1e6
+    return CapacityRow(
         "each controller process",
         "memory for jobs that are over",
-        f"{BYTES_A_JOB_OVER:.0f} B x {JOBS_A_DAY:,} a day = {figure:.0f} MB a day",
+        f"{BYTES_PER_FINISHED_JOB:.0f} B x {CELL_JOBS_PER_DAY:,} a day = {figure:.0f} MB a day",
         "none stated",
         "published: ROADMAP.md",
         "grows with days, not workers",
@@ -184,30 +196,30 @@
     )
 
 
-def _watch(raised: list[dict[str, Any]]) -> Line:
-    bytes_ = fit(raised, "starts/s", "watch KB/s a node")
+def _watch(raised: list[dict[str, Any]]) -> CapacityRow:
+    watch_bytes = fit(raised, "starts/s", "watch KB/s a node")
     changes = fit(raised, "starts/s", "changes/s")
-    history_s = HISTORY_CHANGES / max(1e-9, changes.at(STARTS_PER_S))
-    return Line(
+    history_s = WATCH_HISTORY_CHANGES / max(1e-9, changes.at(CELL_STARTS_PER_S))
+    return CapacityRow(
         "state service to each process",
         "watch",
-        f"{bytes_.per_unit:.2f} KB a start x {STARTS_PER_S:,.0f}/s ="
-        f" {bytes_.at(STARTS_PER_S):,.0f} KB/s;"
-        f" {HISTORY_CHANGES:,} changes of history are {history_s:.0f} s",
+        f"{watch_bytes.per_unit:.2f} KB a start x {CELL_STARTS_PER_S:,.0f}/s ="
+        f" {watch_bytes.at(CELL_STARTS_PER_S):,.0f} KB/s;"
+        f" {WATCH_HISTORY_CHANGES:,} changes of history are {history_s:.0f} s",
         "none stated",
-        _measured(bytes_) + "; with the limits raised",
+        _measured(watch_bytes) + "; with the limits raised",
         "no limit stated",
         "to be replaced: state watched by owner",
     )
 
 
-def _load(workers: list[dict[str, Any]]) -> Line:
+def _load(workers: list[dict[str, Any]]) -> CapacityRow:
     size = fit(workers, "workers", "load s")
-    return Line(
+    return CapacityRow(
         "each controller process",
         "a load from nothing, three at once",
-        f"{size.at_zero:.1f} + {size.per_unit * 1000:.2f} ms x {WORKERS:,}"
-        f" = {size.at(WORKERS):.1f} s",
+        f"{size.at_zero:.1f} + {size.per_unit * 1000:.2f} ms x {WORKERS_PER_CELL:,}"
+        f" = {size.at(WORKERS_PER_CELL):.1f} s",
         "3 s until others take its part",
         _measured(size),
         _workers_at(3.0 - size.at_zero, size.per_unit),
@@ -215,22 +227,23 @@
     )
 
 
-def _members(members: list[dict[str, Any]]) -> Line:
+def _members(members: list[dict[str, Any]]) -> CapacityRow:
     cores = fit(members, "nodes", "cores of all nodes")
     requests = fit(members, "nodes", "state requests/s")
-    return Line(
+    return CapacityRow(
         "each further controller process",
         "cores and requests that it costs all",
         f"{cores.per_unit * 1000:.0f} m cores, {requests.per_unit:.1f} requests/s",
-        f"{REQUESTS_PER_S:.0f} requests/s",
+        f"{REQUEST_LIMIT_PER_S:.0f} requests/s",
         f"{_measured(cores)}; {_measured(requests)}",
-        f"{int((REQUESTS_PER_S - requests.at(0)) / requests.per_unit)} processes without any work",
+        f"{int((REQUEST_LIMIT_PER_S - requests.at(0)) / requests.per_unit)}"
+        " processes without any work",
         "to be replaced: a watch and renewals a machine, not a process",
     )
 
 
-def _configuration() -> Line:
-    return Line(
+def _configuration() -> CapacityRow:
+    return CapacityRow(
         "all processes",
         "15,000 changes of configuration a day in force within 5 s",
         "read at start only",
@@ -241,8 +254,8 @@
     )
 
 
-def _quotas() -> Line:
-    return Line(
+def _quotas() -> CapacityRow:
+    return CapacityRow(
         "leader of a limited team",
         "290 teams with limits across cells",
         "one leader a team, in one cell",
@@ -254,11 +267,20 @@
 
 
 def table(rows: list[dict[str, Any]]) -> str:
+    """Formats all tables of the page as Markdown."""
     head = ["role", "what", "slope x count = figure", "limit", "source"]
     head += ["breaks at workers a cell", "carried by"]
     cells = [
-        [line.role, line.need, line.sum, line.limit, line.source, line.breaks_at, line.mechanism]
-        for line in lines(rows)
+        [
+            line.role,
+            line.requirement,
+            line.calculation,
+            line.limit,
+            line.source,
+            line.limit_reached_at,
+            line.mechanism,
+        ]
+        for line in capacity_rows(rows)
     ]
     parts = [_markdown(head, cells), "## Cost a unit", _units(rows)]
     parts += ["## Starts a second, side by side", _side_by_side(rows)]
@@ -272,7 +294,7 @@
 
 
 def _units(rows: list[dict[str, Any]]) -> str:
-    """What one more of each costs all nodes together, or each of them."""
+    """Formats the marginal cost of each unit, for all nodes together or per node."""
     workers, tasks = _sweep(rows, "workers"), _sweep(rows, "tasks")
     raised, members = _sweep(rows, "starts, limits raised"), _sweep(rows, "members")
     cores, reports = (
@@ -294,7 +316,7 @@
         ),
         ("a start and its end, for all nodes together", f"{starts.per_unit * 1000:.1f} ms", starts),
         (
-            f"a worker with {TASKS_A_WORKER} tasks, in each node",
+            f"a worker with {TASKS_PER_WORKER} tasks, in each node",
             f"{memory.per_unit * 1024:.1f} KB",
             memory,
         ),
@@ -318,7 +340,7 @@
 
 
 def _side_by_side(rows: list[dict[str, Any]]) -> str:
-    """What came about of what was offered, by chunks and by journals, on the same seeds."""
+    """Formats offered against achieved start rates for each way of storing tasks, same seeds."""
     head = [
         "workers",
         "nodes",
@@ -330,7 +352,7 @@
         "cores of all nodes",
     ]
     head += ["urgent p50, p99, worst s", "refused writes", "rules broken"]
-    ways = {
+    storage_by_sweep = {
         "starts, limits held": "chunks",
         "starts, journal": "journals",
         "starts, limits raised": "chunks, limits raised",
@@ -338,16 +360,16 @@
         "a cell": "",
     }
     cells = []
-    for sweep, way in ways.items():
+    for sweep, storage in storage_by_sweep.items():
         for row in _sweep(rows, sweep):
-            usual = "journals" if row["features"] else "chunks"
+            default_storage = "journals" if row["features"] else "chunks"
             urgent = [row[f"urgent {name} s"] for name in ("p50", "p99", "worst")]
             cells.append(
                 [
                     f"{row['workers']:,}",
                     f"{row['nodes']}",
                     f"{row['offered starts/s']:.0f}",
-                    way or usual,
+                    storage or default_storage,
                     f"{row['starts/s']:.1f}",
                     f"{row['changes/s']:.1f}",
                     f"{row['state requests/s']:.0f}",
@@ -361,9 +383,9 @@
 
 
 def on_page(page: str) -> str:
-    """The table as it stands on the page, between its two marks."""
+    """Returns the tables on the page, between the begin and end markers."""
     return page.partition(BEGIN)[2].partition(END)[0].strip()
 
 
 if __name__ == "__main__":
-    print(table(load(Path(sys.argv[1]) if len(sys.argv) > 1 else RESULTS)))
+    print(table(load(Path(sys.argv[1]) if len(sys.argv) > 1 else RESULTS_DIR)))
--- a/experiments/cronyear.py
+++ b/experiments/cronyear.py
@@ -1,4 +1,4 @@
-"""A simulated year of a table in three zones, with leaders lost and outages drawn at random."""
+"""Simulates a year of a cron table in three time zones, with random leader losses and outages."""
 
 import random
 import time
@@ -12,7 +12,7 @@
 
 ABOUT = "every firing against a list worked out minute by minute, by other means"
 ZONES = ("Europe/Bratislava", "Africa/Nairobi", "America/Santiago")
-DAY = 86_400
+DAY_S = 86_400
 MAPPING = '[default]\nteam="core"\nclass="cron"\nimage="i"\ncpus=1.0\nmemory_gb=1.0\n'
 
 
@@ -29,18 +29,18 @@
     lines, days = (60, 30) if quick else (1_002, 365)
     text = table(lines, random.Random(seed))
     begin = int(datetime(2027, 1, 1, tzinfo=UTC).timestamp()) + 30
-    end = begin + days * DAY
+    end = begin + days * DAY_S
     world = World(seed, begin)
     nodes = [Node("a", world, -0.6), Node("b", world, 0.7)]
-    started = time.monotonic()
+    began_real = time.monotonic()
     await bring_in(nodes[0], "office", text, MAPPING)
     world.trouble = 0.02
     await live(world, nodes, end, trouble=True)
     world.trouble, world.down_until = 0.0, 0.0
     await live(world, nodes, end + 130.0, trouble=False)
-    took = time.monotonic() - started
+    elapsed_s = time.monotonic() - began_real
     entries, _ = crontab.read(text)
-    years = {zone: Year(zone, begin - 30 - DAY, end + 200) for zone in ZONES}
+    years = {zone: Year(zone, begin - 30 - DAY_S, end + 200) for zone in ZONES}
     firings = {e.id: years[e.zone].firings(e.schedule) for e in entries}
     due = wanted("office", _between(firings, begin, end))
     late = wanted("office", _between(firings, begin, end + 131))
@@ -57,7 +57,7 @@
             "leaders": world.leads,
             "outages": world.outages,
             "transactions": world.transactions,
-            "real s": took,
+            "real s": elapsed_s,
         }
     )
     row = report.rows[0]
--- a/experiments/first_meeting.py
+++ b/experiments/first_meeting.py
@@ -1,10 +1,10 @@
-"""The first meeting as a day for the bench: a site made from a site file, with cancels enough.
+"""Derives a site file with long jobs and many cancellations, and counts cancellations in a log.
 
     python3 -m experiments.first_meeting SITE    writes target/sites/first-NAME.toml
-    python3 -m experiments.first_meeting LOG --counts FROM TO    of a day played with --log info
+    python3 -m experiments.first_meeting LOG --counts FROM TO    LOG: of a run with --log info
 
-Jobs of every class run far longer than the day, and most are cancelled by their users while they
-run; nothing of the site file is kept in the repository.
+Jobs other than services run far longer than the simulated day, and most are cancelled by their
+users while they run. The repository keeps no part of the site file.
 """
 
 import argparse
@@ -15,14 +15,15 @@
 
 from pulleydeal import timeline
 
-CONFIRMED = "200 cancelled"  # an answer that confirms a cancellation
-TARGET = Path("target/sites")
-LONG = "run_s = { median = 2000.0, p95 = 2500.0, max = 3000.0 }"
-BRIEF = "run_s = { median = 60.0, p95 = 150.0, max = 200.0 }"  # services: until their users cancel
+CANCEL_CONFIRMED = "200 cancelled"  # `why` of an answer that confirms a cancellation
+TARGET_DIR = Path("target/sites")
+LONG_RUN_TIME = "run_s = { median = 2000.0, p95 = 2500.0, max = 3000.0 }"
+# Of services: time until their users cancel them.
+SHORT_RUN_TIME = "run_s = { median = 60.0, p95 = 150.0, max = 200.0 }"
 
 
-def derived(text: str) -> str:
-    """The text of a site file in which work is long and cancels are many; line by line."""
+def cancel_heavy_site(text: str) -> str:
+    """Rewrites a site file line by line so that jobs run long and most are cancelled."""
     table, kind, lines = "", "", []
     for line in text.splitlines():
         if found := re.match(r"\[+([a-z_.]+)\]+", line):
@@ -32,41 +33,42 @@
             if key == "kind":
                 kind = value.strip('"')
             elif key == "run_s":
-                line = BRIEF if kind == "service" else LONG
+                line = SHORT_RUN_TIME if kind == "service" else LONG_RUN_TIME
             elif key == "cancelled":
                 line = "cancelled = 0.7"
             elif key == "arrivals" and kind == "service":
-                line = re.sub(r"rate = ([0-9.]+)", _oftener, line)
+                line = re.sub(r"rate = ([0-9.]+)", _higher_rate, line)
             elif key == "initial":
                 line = f"initial = {int(value) // 2}"
         lines.append(line)
     return "\n".join(lines) + "\n"
 
 
-def _oftener(found: "re.Match[str]") -> str:
-    return f"rate = {max(1.0, float(found[1]) * 4):.4f}"  # a second: as many end, and are cancelled
+def _higher_rate(found: "re.Match[str]") -> str:
+    return f"rate = {max(1.0, float(found[1]) * 4):.4f}"  # per second; services end as often
 
 
-def counts(lines: list[str], from_s: float, to_s: float) -> dict[str, float]:
-    """Of a day's log: confirmed cancellations in a window, and until when their tasks were there.
+def cancellation_counts(lines: list[str], from_s: float, to_s: float) -> dict[str, float]:
+    """Counts cancellations confirmed within a time window of a run's log.
 
-    A task that its machine killed as its lease ran out is seen gone later than it was; so the last
-    moment is an upper bound. The bench's rule is the measure.
+    Also returns the longest time from a confirmation to the recorded end of one of the job's tasks.
+    That is an upper bound: the end of a task that was killed when its machine's lease expired is
+    recorded late. The benchmark's own check is authoritative.
     """
-    told: dict[str, float] = {}
-    worst = 0.0
+    confirmed_at: dict[str, float] = {}
+    last_end_s = 0.0
     for line in lines:
         at, _, text = line.strip().partition(" ")
         entry = timeline.parse(text)
         if entry is None:
             continue
         job = entry.task.partition("/")[0]
-        if entry.action == "answer" and entry.why == CONFIRMED:
+        if entry.action == "answer" and entry.why == CANCEL_CONFIRMED:
             if from_s <= float(at) < to_s:
-                told.setdefault(job, float(at))
-        elif entry.action == "end" and job in told:
-            worst = max(worst, float(at) - told[job])
-    return {"confirmed": len(told), "last task seen gone after s": round(worst, 1)}
+                confirmed_at.setdefault(job, float(at))
+        elif entry.action == "end" and job in confirmed_at:
+            last_end_s = max(last_end_s, float(at) - confirmed_at[job])
+    return {"confirmed": len(confirmed_at), "last task seen gone after s": round(last_end_s, 1)}
 
 
 def main() -> int:
@@ -75,14 +77,18 @@
     parser.add_argument("--counts", nargs=2, type=float, metavar=("FROM_S", "TO_S"))
     options = parser.parse_args()
     if options.counts:
-        print(counts(options.site.read_text(errors="replace").splitlines(), *options.counts))
+        print(
+            cancellation_counts(
+                options.site.read_text(errors="replace").splitlines(), *options.counts
+            )
+        )
         return 0
-    TARGET.mkdir(parents=True, exist_ok=True)
+    TARGET_DIR.mkdir(parents=True, exist_ok=True)
     text = options.site.read_text()
-    path = TARGET / f"first-{options.site.name}"
-    path.write_text(derived(text))
+    path = TARGET_DIR / f"first-{options.site.name}"
+    path.write_text(cancel_heavy_site(text))
     if found := re.search(r'^wire = "([^"]+)"', text, re.M):
-        shutil.copyfile(options.site.parent / found[1], TARGET / found[1])
+        shutil.copyfile(options.site.parent / found[1], TARGET_DIR / found[1])
     print(path)
     return 0
 
--- a/experiments/history.py
+++ b/experiments/history.py
@@ -1,4 +1,4 @@
-"""What jobs that are over cost a node: memory, processor time of loading, pages read."""
+"""Measures what finished jobs cost a node: memory, processor time to load them, state requests."""
 
 import tempfile
 from pathlib import Path
@@ -11,11 +11,11 @@
 
 ABOUT = "one node starts over a state service full of jobs that are over"
 SIZES = (0, 10_000, 100_000, 1_000_000)
-QUICK = (0, 5_000, 20_000)
+QUICK_SIZES = (0, 5_000, 20_000)
 
 
-def over(index: int) -> dict[str, Any]:
-    """A slim record, as it stays when a job is over and all its tasks are gone."""
+def finished_job_record(index: int) -> dict[str, Any]:
+    """Returns the reduced record kept for a finished job whose tasks have all left."""
     return {"status": "done", "tasks": 4, "at": 1.7e9 + index, "ended": 1.7e9 + index + 60.0}
 
 
@@ -23,7 +23,7 @@
     with tempfile.TemporaryDirectory(prefix="pulleydeal-history-") as folder:
         town = Town(Path(folder), nodes=1, limits={"rps": 200.0})
         for index in range(jobs):
-            town.state.put(f"p/j/j-{index:09d}", over(index))
+            town.state.put(f"p/j/j-{index:09d}", finished_job_record(index))
         try:
             town.up_s = 600.0
             await town.start()
@@ -45,14 +45,14 @@
 
 async def run(quick: bool, seed: int) -> Report:
     report = Report("history", ABOUT)
-    for jobs in QUICK if quick else SIZES:
+    for jobs in QUICK_SIZES if quick else SIZES:
         report.rows.append(await measure(jobs))
     empty = report.rows[0]
     for row in report.rows[1:]:
         more = row["memory MB"] - empty["memory MB"]
         row["B a job"] = more * 2**20 / row["jobs over"]
     last = report.rows[-1]
-    # What is so today, so that it is noticed when it grows; the aim is under 16 B a job.
+    # Guards against growth of the present cost; the target is under 16 B per job.
     report.bound("under 1,000 B a job that is over", last["B a job"] < 1000)
     report.plots.append(
         Plot(
--- a/experiments/larger.py
+++ b/experiments/larger.py
@@ -1,9 +1,10 @@
-"""A larger deployment made from a site file, for days of one's own; nothing of the file is kept.
+"""Derives a scaled-up deployment from a site file; the repository keeps no part of the file.
 
     python3 -m experiments.larger SITE [--times 1.5] [--restart-s 0.2]
 
-Writes `target/sites/NAME.toml` (and what it names beside it): capacity, machines that are up,
-teams' amounts, arrivals and jobs at the start that many times as large; nodes back so soon.
+Writes `target/sites/NAME.toml` and copies the wire file that it names. Capacity, running machines,
+team limits, arrival rates and initial jobs are multiplied by `--times`; nodes restart after
+`--restart-s` seconds.
 """
 
 import argparse
@@ -12,19 +13,19 @@
 import sys
 from pathlib import Path
 
-TARGET = Path("target/sites")
-WHOLE = ("count", "spot", "initial")  # of [[capacity]], [[machines]] and [[jobs]]
-AMOUNTS = ("gpus", "gpus_max", "cpus", "cpus_max")  # of [[teams]]
-SCALED = {
+TARGET_DIR = Path("target/sites")
+INTEGER_KEYS = ("count", "spot", "initial")  # of [[capacity]], [[machines]] and [[jobs]]
+TEAM_LIMIT_KEYS = ("gpus", "gpus_max", "cpus", "cpus_max")  # of [[teams]]
+SCALED_KEYS = {
     "capacity": ("count", "spot"),
     "machines": ("count",),
     "jobs": ("initial",),
-    "teams": AMOUNTS,
+    "teams": TEAM_LIMIT_KEYS,
 }
 
 
-def larger(text: str, times: float, restart_s: float) -> str:
-    """The text of a site file `times` as large; line by line, as its days stay as they are."""
+def scaled_site(text: str, factor: float, restart_s: float) -> str:
+    """Scales a site file line by line, leaving its simulated days unchanged."""
     table, lines = "", []
     for line in text.splitlines():
         if found := re.match(r"\[+([a-z_.]+)\]+", line):
@@ -32,11 +33,11 @@
         key, _, value = line.partition(" = ")
         if table == "nodes" and key == "restart_delay_s":
             line = f"{key} = {restart_s}"
-        elif key in SCALED.get(table, ()):
-            amount = float(value) * times
-            line = f"{key} = {round(amount) if key in WHOLE else amount}"
+        elif key in SCALED_KEYS.get(table, ()):
+            amount = float(value) * factor
+            line = f"{key} = {round(amount) if key in INTEGER_KEYS else amount}"
         elif table == "jobs" and key == "arrivals":
-            line = re.sub(r"rate = ([0-9.]+)", lambda m: f"rate = {float(m[1]) * times:.5f}", line)
+            line = re.sub(r"rate = ([0-9.]+)", lambda m: f"rate = {float(m[1]) * factor:.5f}", line)
         lines.append(line)
     return "\n".join(lines) + "\n"
 
@@ -47,12 +48,12 @@
     parser.add_argument("--times", type=float, default=1.5)
     parser.add_argument("--restart-s", type=float, default=0.2)
     options = parser.parse_args()
-    TARGET.mkdir(parents=True, exist_ok=True)
+    TARGET_DIR.mkdir(parents=True, exist_ok=True)
     text = options.site.read_text()
-    path = TARGET / options.site.name
-    path.write_text(larger(text, options.times, options.restart_s))
+    path = TARGET_DIR / options.site.name
+    path.write_text(scaled_site(text, options.times, options.restart_s))
     if found := re.search(r'^wire = "([^"]+)"', text, re.M):
-        shutil.copyfile(options.site.parent / found[1], TARGET / found[1])
+        shutil.copyfile(options.site.parent / found[1], TARGET_DIR / found[1])
     print(path)
     return 0
 
--- a/experiments/load.py
+++ b/experiments/load.py
@@ -1,7 +1,7 @@
-"""An open-loop load generator: requests leave when they are due, whatever became of others.
+"""An open-loop load generator: each request is sent when due, however many are outstanding.
 
-Latency counts from the moment at which a request was due, so that a service that stalls can't
-hide it by slowing the asker.
+Latency is measured from the time at which a request was due, so that a stalled service cannot hide
+its delay by slowing the generator (coordinated omission).
 """
 
 import asyncio
@@ -14,62 +14,70 @@
 
 from pulleydeal.clock import Clock
 
-MOST_US = 60_000_000  # a minute, in microseconds: longer answers count as that
-DIGITS = 3  # significant digits that a histogram keeps
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as one minute
+SIGNIFICANT_DIGITS = 3  # of recorded values
 
-# Sends the n-th request; tells what came of it, as a word that is counted ("201", "503", ...).
+# Sends the n-th request and returns its outcome, which is counted ("201", "503", ...).
 Send = Callable[[int], Awaitable[str]]
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, MOST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-def note(into: HdrHistogram, seconds: float) -> None:
-    into.record_value(min(MOST_US, max(1, int(seconds * 1e6))))
+def record_latency(latencies: HdrHistogram, seconds: float) -> None:
+    latencies.record_value(min(MAX_LATENCY_US, max(1, int(seconds * 1e6))))
 
 
-def quantile_ms(of: HdrHistogram, percent: float) -> float:
-    """0 where nothing was recorded."""
-    return float(of.get_value_at_percentile(percent)) / 1000 if of.total_count else 0.0
+def quantile_ms(latencies: HdrHistogram, percentile: float) -> float:
+    """Returns 0 if nothing was recorded."""
+    return (
+        float(latencies.get_value_at_percentile(percentile)) / 1000
+        if latencies.total_count
+        else 0.0
+    )
 
 
 @dataclass
-class Result:
+class LoadResult:
+    """Outcome counts and latencies of one load phase."""
+
     seconds: float = 0.0
     counts: Counter[str] = field(default_factory=Counter)
-    by_word: dict[str, HdrHistogram] = field(default_factory=dict)
+    by_outcome: dict[str, HdrHistogram] = field(default_factory=dict)
     all: HdrHistogram = field(default_factory=histogram)
-    late_s: float = 0.0  # the latest departure after its due moment: above some ms we measure us
+    max_send_delay_s: float = 0.0  # above a few ms the generator itself is the bottleneck
 
-    def rate(self, word: str) -> float:
-        return self.counts[word] / self.seconds if self.seconds else 0.0
+    def rate(self, outcome: str) -> float:
+        return self.counts[outcome] / self.seconds if self.seconds else 0.0
 
-    def ms(self, percent: float, word: str | None = None) -> float:
-        of = self.all if word is None else self.by_word.get(word)
-        return quantile_ms(of, percent) if of is not None else 0.0
+    def ms(self, percentile: float, outcome: str | None = None) -> float:
+        latencies = self.all if outcome is None else self.by_outcome.get(outcome)
+        return quantile_ms(latencies, percentile) if latencies is not None else 0.0
 
 
-async def play(send: Send, per_s: float, for_s: float, clock: Clock, rng: random.Random) -> Result:
-    """Poisson arrivals at `per_s` for `for_s` seconds; waits for all answers."""
-    result = Result(seconds=for_s)
-    began = clock.now()
+async def generate_load(
+    send: Send, rate_per_s: float, duration_s: float, clock: Clock, rng: random.Random
+) -> LoadResult:
+    """Sends requests with Poisson arrivals for `duration_s` and waits for all answers."""
+    result = LoadResult(seconds=duration_s)
+    started = clock.now()
 
-    async def one(number: int, due: float) -> None:
-        result.late_s = max(result.late_s, clock.now() - due)
-        word = await send(number)
-        took = clock.now() - due
-        result.counts[word] += 1
-        note(result.all, took)
-        note(result.by_word.setdefault(word, histogram()), took)
+    async def send_one(number: int, due: float) -> None:
+        result.max_send_delay_s = max(result.max_send_delay_s, clock.now() - due)
+        outcome = await send(number)
+        latency_s = clock.now() - due
+        result.counts[outcome] += 1
+        record_latency(result.all, latency_s)
+        record_latency(result.by_outcome.setdefault(outcome, histogram()), latency_s)
 
     running: set[asyncio.Task[None]] = set()
-    due, number = began, 0
-    while (due := due + rng.expovariate(per_s)) < began + for_s:
+    due, number = started, 0
+    while (due := due + rng.expovariate(rate_per_s)) < started + duration_s:
         wait = due - clock.now()
         if wait > 0:
             await asyncio.sleep(wait)
-        task = asyncio.ensure_future(one(number, due))
+        task = asyncio.ensure_future(send_one(number, due))
         running.add(task)
         task.add_done_callback(running.discard)
         number += 1
--- a/experiments/memory.py
+++ b/experiments/memory.py
@@ -1,4 +1,4 @@
-"""Bytes that a node keeps for each thing it knows: traced allocations of its own structures."""
+"""Measures a node's memory per machine, job, task and connection by tracing its allocations."""
 
 import asyncio
 import gc
@@ -17,7 +17,7 @@
 from pulleydeal.store.replica import Replica
 from standins.town import LOCAL, free_port
 
-THINGS = 1_000
+ITEMS = 1_000
 CONNECTIONS = 200
 
 
@@ -25,37 +25,37 @@
     return m.Entry(key, msgspec.Raw(msgspec.json.encode(value)), version)
 
 
-def _grown(load: Callable[[], object]) -> int:
-    """Bytes that are still held after `load`, beside what it returns."""
+def _retained_bytes(load: Callable[[], object]) -> int:
+    """Bytes allocated by `load` that are still held while its result is alive."""
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
-    kept = load()
+    retained_objects = load()
     gc.collect()
-    grown = tracemalloc.get_traced_memory()[0] - before
-    del kept
-    return grown
+    retained = tracemalloc.get_traced_memory()[0] - before
+    del retained_objects
+    return retained
 
 
 def _replica_bytes(entries: list[m.Entry], replica: Replica) -> float:
-    return _grown(lambda: replica.load(entries)) / THINGS
+    return _retained_bytes(lambda: replica.load(entries)) / ITEMS
 
 
 def replica_rows() -> list[dict[str, Any]]:
-    """What the watched copy keeps for a machine, a job, a task."""
+    """Measures the bytes that the replica keeps per machine, job and task."""
     wall = 1e9
-    bodies = list(held_jobs(ScaleSize(workers=THINGS, tasks_per_worker=c.CHUNK_TASKS)).values())
+    bodies = list(held_jobs(ScaleSize(workers=ITEMS, tasks_per_worker=c.CHUNK_TASKS)).values())
     machine = r.MachineRecord("up", "h64", "east", False, "10.1.0.1:9000", wall)
     replica = Replica()
     found = {
         "a machine": _replica_bytes(
-            [_entry(r.machine_key(f"vm-{i:06d}"), machine, 1) for i in range(THINGS)], replica
+            [_entry(r.machine_key(f"vm-{i:06d}"), machine, 1) for i in range(ITEMS)], replica
         ),
         "an open job": _replica_bytes(
             [
                 _entry(
                     r.job_key(b["name_id"]), r.JobRecord("open", b["lifts"], wall, spec_of(b)), 2
                 )
-                for b in bodies[:THINGS]
+                for b in bodies[:ITEMS]
             ],
             replica,
         ),
@@ -66,7 +66,7 @@
                     [r.Task(f"vm-{i:06d}", 1)] * c.CHUNK_TASKS,
                     3,
                 )
-                for i, body in enumerate(bodies[:THINGS])
+                for i, body in enumerate(bodies[:ITEMS])
             ],
             replica,
         )
@@ -74,12 +74,12 @@
         "a job that is over": _replica_bytes(
             [
                 _entry(r.job_key(f"j-{5_000_000 + i}"), r.JobRecord("done", 8, wall), 4)
-                for i in range(THINGS)
+                for i in range(ITEMS)
             ],
             replica,
         ),
     }
-    return [{"kept for": thing, "bytes": round(size)} for thing, size in found.items()]
+    return [{"kept for": item, "bytes": round(size)} for item, size in found.items()]
 
 
 async def _idle_connections() -> float:
@@ -98,14 +98,14 @@
             await reader.readuntil(b"{}")
             writers.append(writer)
 
-    grown = await _grown_async(connect)
+    retained = await _retained_bytes_async(connect)
     for writer in writers:
         writer.close()
     await server.close()
-    return grown / CONNECTIONS
+    return retained / CONNECTIONS
 
 
-async def _grown_async(load: Callable[[], Awaitable[None]]) -> int:
+async def _retained_bytes_async(load: Callable[[], Awaitable[None]]) -> int:
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
     await load()
@@ -113,13 +113,13 @@
     return tracemalloc.get_traced_memory()[0] - before
 
 
-async def rows() -> list[dict[str, Any]]:
-    """Bytes a thing, by traced allocations: what the allocator adds is not in them."""
+async def memory_rows() -> list[dict[str, Any]]:
+    """Returns bytes per item as traced; the allocator's own overhead is not included."""
     tracemalloc.start()
     try:
         found = replica_rows()
-        both_ends = await _idle_connections()
+        connection_bytes = await _idle_connections()
     finally:
         tracemalloc.stop()
-    found.append({"kept for": "a connection, both ends", "bytes": round(both_ends)})
+    found.append({"kept for": "a connection, both ends", "bytes": round(connection_bytes)})
     return found
--- a/experiments/overload.py
+++ b/experiments/overload.py
@@ -1,4 +1,4 @@
-"""Submissions at several times the rate that the state service can write."""
+"""Measures submissions at several multiples of the state service's write rate."""
 
 import asyncio
 import random
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from experiments.load import Result, play
+from experiments.load import LoadResult, generate_load
 from experiments.report import Plot, Report
 from pulleydeal import constants as c
 from pulleydeal.http import Client, NoAnswer
@@ -14,24 +14,26 @@
 
 ABOUT = "submissions at 0.5 to 4 times the write rate, three nodes, open loop, no retries"
 WRITE_RPS = 80.0
-TIMES = (0.5, 1.0, 2.0, 4.0)
-PATIENCE_S = 5.0  # PROTOCOL: users wait so long for a submission
-SETTLE_S = 6.0  # between two loads: queues and bindings of the last one are over
+LOAD_FACTORS = (0.5, 1.0, 2.0, 4.0)
+SUBMIT_TIMEOUT_S = 5.0  # PROTOCOL: how long users wait for an answer to a submission
+SETTLE_S = 6.0  # lets the queues and bindings of the previous load drain
 
 
 class Users:
-    """Submit jobs that wait for ever, so that only their acceptance is measured."""
+    """Submit jobs that never start, so that only their acceptance is measured."""
 
     def __init__(self, town: Town) -> None:
         self._clients = [Client(address, town.clock) for address in town.nodes.values()]
-        self.first = 0
+        self.first_job_number = 0
 
     async def send(self, number: int) -> str:
         client = self._clients[number % len(self._clients)]
-        # Of a type that the cloud can't give: nothing is rented or bound meanwhile.
-        body: Any = job(f"j-{self.first + number}", accelerators=4.0, lifts=1, haul="gang")
+        # Needs a machine type that the cloud cannot provide, so nothing is rented or bound.
+        body: Any = job(
+            f"j-{self.first_job_number + number}", accelerators=4.0, lifts=1, haul="gang"
+        )
         try:
-            status, _ = await client.request("POST", "/submissions", body, PATIENCE_S)
+            status, _ = await client.request("POST", "/submissions", body, SUBMIT_TIMEOUT_S)
         except NoAnswer:
             return "none"
         return str(status)
@@ -41,9 +43,9 @@
             client.close()
 
 
-def row(times: float, result: Result) -> dict[str, Any]:
+def result_row(factor: float, result: LoadResult) -> dict[str, Any]:
     return {
-        "times the rate": times,
+        "times the rate": factor,
         "accepted a second": result.rate("201"),
         "refused": result.counts["503"],
         "no answer": result.counts["none"],
@@ -52,41 +54,44 @@
         "refused p50 ms": result.ms(50, "503"),
         "refused p99 ms": result.ms(99, "503"),
         "all p99 ms": result.ms(99),
-        "asker late ms": result.late_s * 1000,
+        "asker late ms": result.max_send_delay_s * 1000,
     }
 
 
 async def run(quick: bool, seed: int) -> Report:
     report = Report("overload", ABOUT)
-    for_s = 8.0 if quick else 20.0
-    times = (2.0, 4.0) if quick else TIMES
+    duration_s = 8.0 if quick else 20.0
+    factors = (2.0, 4.0) if quick else LOAD_FACTORS
     with tempfile.TemporaryDirectory(prefix="pulleydeal-overload-") as folder:
         town = Town(Path(folder), limits={"write_rps": WRITE_RPS}, capacity=0)
         try:
             await town.start()
             users = Users(town)
             rng = random.Random(seed)
-            for x in times:
+            for factor in factors:
                 await asyncio.sleep(1.0 if quick else SETTLE_S)
-                result = await play(users.send, x * WRITE_RPS, for_s, town.clock, rng)
-                users.first += 1_000_000
-                report.rows.append(row(x, result))
+                result = await generate_load(
+                    users.send, factor * WRITE_RPS, duration_s, town.clock, rng
+                )
+                users.first_job_number += 1_000_000
+                report.rows.append(result_row(factor, result))
             users.close()
         finally:
             await town.stop()
-    best = max(r["accepted a second"] for r in report.rows)
-    full = [r for r in report.rows if r["times the rate"] >= 1.0]
+    best_rate = max(r["accepted a second"] for r in report.rows)
+    saturated = [r for r in report.rows if r["times the rate"] >= 1.0]
     report.bound(
-        f"accepted a second at 1 times the rate and above never under 0.9 of the best ({best:.1f})",
-        all(r["accepted a second"] >= 0.9 * best for r in full),
+        "accepted a second at 1 times the rate and above never under 0.9 of the best"
+        f" ({best_rate:.1f})",
+        all(r["accepted a second"] >= 0.9 * best_rate for r in saturated),
     )
     report.bound(
-        "99th percentile of every answer under 1 s", all(r["all p99 ms"] < 1000 for r in full)
+        "99th percentile of every answer under 1 s", all(r["all p99 ms"] < 1000 for r in saturated)
     )
     report.bound(
-        "refusals under 50 ms (99th percentile)", all(r["refused p99 ms"] < 50 for r in full)
+        "refusals under 50 ms (99th percentile)", all(r["refused p99 ms"] < 50 for r in saturated)
     )
-    report.bound("every request answered", all(r["no answer"] == 0 for r in full))
+    report.bound("every request answered", all(r["no answer"] == 0 for r in saturated))
     report.notes.append(
         f"limits: {WRITE_RPS:.0f} changes a second for all nodes, of which {c.WRITE_SHARE:.0%} are"
         " used; nodes are processes on this machine, not held to a share of a core"
@@ -98,7 +103,7 @@
             "a second",
             {
                 "accepted": [(r["times the rate"], r["accepted a second"]) for r in report.rows],
-                "refused": [(r["times the rate"], r["refused"] / for_s) for r in report.rows],
+                "refused": [(r["times the rate"], r["refused"] / duration_s) for r in report.rows],
             },
         )
     )
--- a/experiments/processes.py
+++ b/experiments/processes.py
@@ -1,19 +1,19 @@
-"""What a process has used, as the kernel tells it (Linux)."""
+"""Resource usage of a process, read from /proc (Linux)."""
 
 import os
 from pathlib import Path
 
-_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
+_CLOCK_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
 
 
 def cpu_s(pid: int) -> float:
-    """Processor seconds, its own and the kernel's for it."""
+    """Processor seconds in user and kernel mode."""
     after_name = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(after_name[11]) + int(after_name[12])) * _TICK_S
+    return (int(after_name[11]) + int(after_name[12])) * _CLOCK_TICK_S
 
 
 def memory_mb(pid: int) -> float:
-    """Memory that it holds now (resident)."""
+    """Resident memory; 0 if the kernel does not report it."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
--- a/experiments/profile.py
+++ b/experiments/profile.py
@@ -1,6 +1,6 @@
-"""Where a node's processor time goes: a sampling profiler over three nodes of a small cell.
+"""Profiles the processor time of nodes by sampling the three nodes of a small cell.
 
-With `--days DIR` it reads profiles that `experiments.record` left (py-spy's raw format, *.raw).
+With `--days DIR` it reads profiles written by `experiments.record` (py-spy's raw format, *.raw).
 """
 
 import asyncio
@@ -19,130 +19,130 @@
 from experiments.scale_run import Run
 
 ABOUT = "processor time of three nodes by place; samples of their own code"
-RATE_HZ = 97  # samples a second; no divisor of the loops' periods
-PLACES = 12
-QUICK_S, FULL_S = 8.0, 30.0
-START_S = 1.0  # until the profilers have attached
-OURS = re.compile(r"\((pulleydeal|h11|asyncio|msgspec)/")
-WAITING = "select (selectors.py"  # a loop that has nothing to do
+RATE_HZ = 97  # prime, so that samples do not align with periodic work
+ROWS_SHOWN = 12
+QUICK_DURATION_S, FULL_DURATION_S = 8.0, 30.0
+PROFILER_ATTACH_S = 1.0  # time for the profilers to attach
+SERVICE_FRAME = re.compile(r"\((pulleydeal|h11|asyncio|msgspec)/")
+IDLE_FRAME = "select (selectors.py"  # an idle event loop
 SOURCE_LINE = re.compile(r":\d+\)$")
 
 
 @dataclass(frozen=True)
-class Known:
-    """What is known of a place."""
+class CostNote:
+    """What the cost of a stack frame scales with."""
 
     grows_with: str
-    anew: str  # what of it is done again though nothing changed
+    repeated_work: str  # work that is repeated though nothing changed
 
 
-REQUEST = Known("requests: reports, users', beside them", "each request once")
-CALL = Known("orders and state calls", "each call once")
-REPORT = Known("reports", "the answer; a plan only of machines that changed")
-PUBLISHED = Known(
+HTTP_REQUEST = CostNote("requests: reports, users', beside them", "each request once")
+OUTGOING_CALL = CostNote("orders and state calls", "each call once")
+MACHINE_REPORT = CostNote("reports", "the answer; a plan only of machines that changed")
+CREDIT_TOTALS = CostNote(
     "machines with credit", "all of them, up to five times a second, when one changed"
 )
-RENEWED = Known("machines that changed", "all once in two seconds, a share at a time")
-BEAT = Known("members x published totals", "whole totals, twice a second")
-PLACED = Known("open jobs that are led here", "all of them, each round")
-FLEET = Known("machines and open jobs, at one node", "all of them, each second")
-ROUND = Known("machines", "a look at each, once or twice a second")
-CHANGE = Known("changes", "each once")
-KNOWN = {
-    "Server._connection (pulleydeal/http.py)": REQUEST,
-    "Server._respond (pulleydeal/http.py)": REQUEST,
-    "Server._next (pulleydeal/http.py)": REQUEST,
-    "App.handle (pulleydeal/app.py)": REQUEST,
-    "_read_request (pulleydeal/http.py)": REQUEST,
-    "_send (pulleydeal/http.py)": REQUEST,
-    "Connection.next_event (h11/_connection.py)": REQUEST,
-    "Connection._process_event (h11/_connection.py)": REQUEST,
-    "Connection._extract_next_receive_event (h11/_connection.py)": REQUEST,
-    "Connection.send (h11/_connection.py)": REQUEST,
-    "Connection.send_with_data_passthrough (h11/_connection.py)": REQUEST,
-    "Client.send (pulleydeal/http.py)": CALL,
-    "Client.request (pulleydeal/http.py)": CALL,
-    "Client._exchange (pulleydeal/http.py)": CALL,
-    "StateClient._call (pulleydeal/store/client.py)": CALL,
-    "Workers.checkin (pulleydeal/workers/service.py)": REPORT,
-    "Workers._apply_report (pulleydeal/workers/service.py)": REPORT,
-    "apply_report (pulleydeal/workers/tracked_machine.py)": REPORT,
-    "Workers._plan (pulleydeal/workers/service.py)": REPORT,
-    "Workers.work (pulleydeal/workers/service.py)": ROUND,
-    "Eviction.run_round (pulleydeal/workers/eviction.py)": ROUND,
-    "Credits.work (pulleydeal/credits/service.py)": RENEWED,
-    "Credits._refresh (pulleydeal/credits/service.py)": RENEWED,
-    "Credits._compute_credit (pulleydeal/credits/service.py)": RENEWED,
-    "CreditBuilder.build (pulleydeal/credits/builder.py)": RENEWED,
-    "Credits._publish (pulleydeal/credits/service.py)": PUBLISHED,
-    "totals (pulleydeal/credits/totals.py)": PUBLISHED,
-    "Placement.work (pulleydeal/placement/service.py)": PLACED,
-    "Placement._round (pulleydeal/placement/service.py)": PLACED,
-    "Membership.send_beat (pulleydeal/membership/service.py)": BEAT,
-    "Membership._on_beat (pulleydeal/membership/service.py)": BEAT,
-    "unpack_beat (pulleydeal/membership/messages.py)": BEAT,
-    "Siblings._accept (pulleydeal/membership/siblings.py)": BEAT,
-    "Store.follow (pulleydeal/store/service.py)": CHANGE,
-    "StateClient.watch (pulleydeal/store/client.py)": CHANGE,
-    "Replica.apply (pulleydeal/store/replica.py)": CHANGE,
-    "Store._write (pulleydeal/store/service.py)": CHANGE,
-    "Store._drain (pulleydeal/store/service.py)": CHANGE,
-    "Store.commit (pulleydeal/store/service.py)": CHANGE,
-    "Fleet.rent (pulleydeal/fleet/service.py)": FLEET,
-    "Fleet._plan_state (pulleydeal/fleet/service.py)": FLEET,
-    "Fleet.return_machines (pulleydeal/fleet/service.py)": FLEET,
+CREDIT_REFRESH = CostNote("machines that changed", "all once in two seconds, a share at a time")
+HEARTBEAT = CostNote("members x published totals", "whole totals, twice a second")
+PLACEMENT_ROUND = CostNote("open jobs that are led here", "all of them, each round")
+FLEET_ROUND = CostNote("machines and open jobs, at one node", "all of them, each second")
+WORKER_ROUND = CostNote("machines", "a look at each, once or twice a second")
+STATE_CHANGE = CostNote("changes", "each once")
+COST_NOTES = {
+    "Server._connection (pulleydeal/http.py)": HTTP_REQUEST,
+    "Server._respond (pulleydeal/http.py)": HTTP_REQUEST,
+    "Server._next (pulleydeal/http.py)": HTTP_REQUEST,
+    "App.handle (pulleydeal/app.py)": HTTP_REQUEST,
+    "_read_request (pulleydeal/http.py)": HTTP_REQUEST,
+    "_send (pulleydeal/http.py)": HTTP_REQUEST,
+    "Connection.next_event (h11/_connection.py)": HTTP_REQUEST,
+    "Connection._process_event (h11/_connection.py)": HTTP_REQUEST,
+    "Connection._extract_next_receive_event (h11/_connection.py)": HTTP_REQUEST,
+    "Connection.send (h11/_connection.py)": HTTP_REQUEST,
+    "Connection.send_with_data_passthrough (h11/_connection.py)": HTTP_REQUEST,
+    "Client.send (pulleydeal/http.py)": OUTGOING_CALL,
+    "Client.request (pulleydeal/http.py)": OUTGOING_CALL,
+    "Client._exchange (pulleydeal/http.py)": OUTGOING_CALL,
+    "StateClient._call (pulleydeal/store/client.py)": OUTGOING_CALL,
+    "Workers.checkin (pulleydeal/workers/service.py)": MACHINE_REPORT,
+    "Workers._apply_report (pulleydeal/workers/service.py)": MACHINE_REPORT,
+    "apply_report (pulleydeal/workers/tracked_machine.py)": MACHINE_REPORT,
+    "Workers._plan (pulleydeal/workers/service.py)": MACHINE_REPORT,
+    "Workers.work (pulleydeal/workers/service.py)": WORKER_ROUND,
+    "Eviction.run_round (pulleydeal/workers/eviction.py)": WORKER_ROUND,
+    "Credits.work (pulleydeal/credits/service.py)": CREDIT_REFRESH,
+    "Credits._refresh (pulleydeal/credits/service.py)": CREDIT_REFRESH,
+    "Credits._compute_credit (pulleydeal/credits/service.py)": CREDIT_REFRESH,
+    "CreditBuilder.build (pulleydeal/credits/builder.py)": CREDIT_REFRESH,
+    "Credits._publish (pulleydeal/credits/service.py)": CREDIT_TOTALS,
+    "totals (pulleydeal/credits/totals.py)": CREDIT_TOTALS,
+    "Placement.work (pulleydeal/placement/service.py)": PLACEMENT_ROUND,
+    "Placement._round (pulleydeal/placement/service.py)": PLACEMENT_ROUND,
+    "Membership.send_beat (pulleydeal/membership/service.py)": HEARTBEAT,
+    "Membership._on_beat (pulleydeal/membership/service.py)": HEARTBEAT,
+    "unpack_beat (pulleydeal/membership/messages.py)": HEARTBEAT,
+    "Siblings._accept (pulleydeal/membership/siblings.py)": HEARTBEAT,
+    "Store.follow (pulleydeal/store/service.py)": STATE_CHANGE,
+    "StateClient.watch (pulleydeal/store/client.py)": STATE_CHANGE,
+    "Replica.apply (pulleydeal/store/replica.py)": STATE_CHANGE,
+    "Store._write (pulleydeal/store/service.py)": STATE_CHANGE,
+    "Store._drain (pulleydeal/store/service.py)": STATE_CHANGE,
+    "Store.commit (pulleydeal/store/service.py)": STATE_CHANGE,
+    "Fleet.rent (pulleydeal/fleet/service.py)": FLEET_ROUND,
+    "Fleet._plan_state (pulleydeal/fleet/service.py)": FLEET_ROUND,
+    "Fleet.return_machines (pulleydeal/fleet/service.py)": FLEET_ROUND,
 }
-UNKNOWN = Known("", "")
-# Frames that hold everything below them: nothing is learned from their share.
-FRAMES_PASSED = ("run", "forever", "Runner.", "BaseEventLoop.", "Handle._run", "main", "serve")
+NO_NOTE = CostNote("", "")
+# Outer frames that contain everything below them, so that their share says nothing.
+OUTER_FRAMES = ("run", "forever", "Runner.", "BaseEventLoop.", "Handle._run", "main", "serve")
 
 
 class Profile:
-    """Samples by place: how often it was at work, itself or in what it called."""
+    """Sample counts by stack frame, including time spent in its callees."""
 
     def __init__(self) -> None:
         self.samples = 0
-        self.within: Counter[str] = Counter()
+        self.inclusive: Counter[str] = Counter()
 
     def add(self, text: str) -> None:
-        """One process's samples: `frame;frame;... count`, the outermost first."""
+        """Adds one process's samples: lines `frame;frame;... count`, the outermost frame first."""
         for line in text.splitlines():
             stack, _, count = line.rpartition(" ")
             frames = [SOURCE_LINE.sub(")", frame) for frame in stack.split(";")]
-            if not stack or frames[-1].startswith(WAITING) or "select" in frames[-1]:
+            if not stack or frames[-1].startswith(IDLE_FRAME) or "select" in frames[-1]:
                 continue
             self.samples += int(count)
             for frame in set(frames):
-                self.within[frame] += int(count)
+                self.inclusive[frame] += int(count)
 
-    def places(self, most: int) -> list[tuple[str, int]]:
-        """The dearest places of the service's own code."""
+    def hottest(self, limit: int) -> list[tuple[str, int]]:
+        """Returns the frames of the service and its libraries with the most samples."""
         found = [
             (frame, count)
-            for frame, count in self.within.most_common()
-            if OURS.search(frame)
+            for frame, count in self.inclusive.most_common()
+            if SERVICE_FRAME.search(frame)
             and "(asyncio/" not in frame
-            and not frame.startswith(FRAMES_PASSED)
+            and not frame.startswith(OUTER_FRAMES)
         ]
-        return found[:most]
+        return found[:limit]
 
 
 def rows(profile: Profile, cores: float | None = None) -> list[dict[str, Any]]:
-    """`cores`: processor seconds a second of all profiled nodes, where that was measured."""
+    """Builds the table; `cores` is the measured processor use of all profiled nodes, if known."""
     found = []
-    for frame, count in profile.places(PLACES):
+    for frame, count in profile.hottest(ROWS_SHOWN):
         share = count / max(1, profile.samples)
         row: dict[str, Any] = {"place": frame, "share": share}
         if cores is not None:
             row["ms a second"] = share * cores * 1000
-        known = KNOWN.get(frame, UNKNOWN)
-        row |= {"grows with": known.grows_with, "anew": known.anew}
+        note = COST_NOTES.get(frame, NO_NOTE)
+        row |= {"grows with": note.grows_with, "anew": note.repeated_work}
         found.append(row)
     return found
 
 
 def read(folder: Path) -> Report:
-    """Profiles that were recorded by `py-spy record --format raw`."""
+    """Reports on profiles recorded by `py-spy record --format raw`."""
     profile = Profile()
     files = sorted(folder.glob("*.raw"))
     for path in files:
@@ -153,12 +153,12 @@
     return report
 
 
-async def record(pid: int, path: Path, for_s: float) -> None:
-    """Samples a process for so long, or until it ends."""
-    words = ["-m", "py_spy", "record", "--nonblocking", "--format", "raw"]
+async def record(pid: int, path: Path, duration_s: float) -> None:
+    """Samples a process for `duration_s` or until it ends."""
+    arguments = ["-m", "py_spy", "record", "--nonblocking", "--format", "raw"]
     tool = Path(sys.executable).with_name("py-spy")
-    command = [str(tool), *words[2:]] if tool.is_file() else [sys.executable, *words]
-    options = ["--rate", str(RATE_HZ), "--duration", str(int(for_s)), "--output", str(path)]
+    command = [str(tool), *arguments[2:]] if tool.is_file() else [sys.executable, *arguments]
+    options = ["--rate", str(RATE_HZ), "--duration", str(int(duration_s)), "--output", str(path)]
     process = await asyncio.create_subprocess_exec(
         *command,
         *options,
@@ -171,8 +171,8 @@
 
 
 async def run(quick: bool, seed: int) -> Report:
-    for_s = QUICK_S if quick else FULL_S
-    size = Size(workers=60 if quick else 300, seed=seed, measure_s=for_s)
+    duration_s = QUICK_DURATION_S if quick else FULL_DURATION_S
+    size = Size(workers=60 if quick else 300, seed=seed, measure_s=duration_s)
     profile = Profile()
     with tempfile.TemporaryDirectory(prefix="pulleydeal-profile-") as name:
         folder = Path(name)
@@ -180,11 +180,11 @@
         try:
             await cell.start()
             measuring = asyncio.ensure_future(Run(cell, faults=False).measure())
-            await asyncio.sleep(size.settle_s + START_S)
+            await asyncio.sleep(size.settle_s + PROFILER_ATTACH_S)
             nodes = {node: process.pid for node, process in cell.processes.items()}
             await asyncio.gather(
                 *(
-                    record(pid, folder / f"{node}.raw", for_s - START_S)
+                    record(pid, folder / f"{node}.raw", duration_s - PROFILER_ATTACH_S)
                     for node, pid in nodes.items()
                 )
             )
@@ -200,7 +200,7 @@
         f" {row['starts/s']:.1f} starts and {row['reports/s']:.1f} reports a second,"
         f" {row['cores of all nodes']:.3f} cores; {profile.samples} samples, waiting left out"
     )
-    report.details = await memory.rows()
+    report.details = await memory.memory_rows()
     report.notes += [f"{row['bytes']:,} B for {row['kept for']}" for row in report.details]
     report.bound("all three nodes were sampled", profile.samples > 0)
     report.bound("no rule broken", row["rules broken"] == 0)
--- a/experiments/record.py
+++ b/experiments/record.py
@@ -13,32 +13,32 @@
 
 from experiments.profile import record
 
-LOOK_S = 1.0
+SCAN_INTERVAL_S = 1.0
 
 
-def running(match: str) -> set[int]:
-    """Numbers of the processes whose command line holds the text."""
+def matching_pids(match: str) -> set[int]:
+    """Returns the pids of processes whose command line contains the text."""
     found = set()
     for path in Path("/proc").glob("[0-9]*/cmdline"):
         try:
-            words = path.read_bytes().replace(b"\0", b" ").decode(errors="replace")
+            command_line = path.read_bytes().replace(b"\0", b" ").decode(errors="replace")
         except OSError:
-            continue  # it has just ended
-        if match in words:
+            continue  # the process has ended
+        if match in command_line:
             found.add(int(path.parent.name))
     return found
 
 
-async def sample(out: Path, for_s: float, match: str, besides: set[int]) -> int:
-    """Returns how many processes were sampled. `besides`: those that are left alone."""
-    until = time.monotonic() + for_s
-    known = set(besides)
+async def sample(out: Path, duration_s: float, match: str, excluded: set[int]) -> int:
+    """Samples matching processes as they appear, except `excluded`; returns their number."""
+    until = time.monotonic() + duration_s
+    seen = set(excluded)
     tasks: list[asyncio.Task[None]] = []
-    while (left := until - time.monotonic()) > LOOK_S:
-        for pid in running(match) - known:
-            known.add(pid)
-            tasks.append(asyncio.ensure_future(record(pid, out / f"{pid}.raw", left)))
-        await asyncio.sleep(LOOK_S)
+    while (remaining_s := until - time.monotonic()) > SCAN_INTERVAL_S:
+        for pid in matching_pids(match) - seen:
+            seen.add(pid)
+            tasks.append(asyncio.ensure_future(record(pid, out / f"{pid}.raw", remaining_s)))
+        await asyncio.sleep(SCAN_INTERVAL_S)
     await asyncio.gather(*tasks)
     return len(tasks)
 
@@ -50,7 +50,9 @@
     parser.add_argument("--match", default="run.py --config")
     options = parser.parse_args()
     options.out.mkdir(parents=True, exist_ok=True)
-    count = asyncio.run(sample(options.out, options.for_s, options.match, running(options.match)))
+    count = asyncio.run(
+        sample(options.out, options.for_s, options.match, matching_pids(options.match))
+    )
     print(f"{count} processes sampled into {options.out}")
 
 
--- a/experiments/report.py
+++ b/experiments/report.py
@@ -1,4 +1,4 @@
-"""What an experiment found: a table on the terminal, JSON, and a plot as SVG."""
+"""Results of an experiment: a table on the terminal, a JSON file and SVG plots."""
 
 import json
 import platform
@@ -14,7 +14,7 @@
 
 @dataclass
 class Bound:
-    """A claim that the experiment checks; one that is not held makes it fail."""
+    """A claim that the experiment checks; it fails if one does not hold."""
 
     claim: str
     held: bool
@@ -22,6 +22,8 @@
 
 @dataclass
 class Plot:
+    """A line plot with one series per name."""
+
     title: str
     x: str
     y: str
@@ -31,10 +33,12 @@
 
 @dataclass
 class Report:
+    """Collects the rows, notes, plots and checked claims of one experiment."""
+
     name: str
     about: str
     rows: list[Row] = field(default_factory=list)
-    details: list[Row] = field(default_factory=list)  # too wide for a table: in the JSON only
+    details: list[Row] = field(default_factory=list)  # too wide for the table; only in JSON
     bounds: list[Bound] = field(default_factory=list)
     plots: list[Plot] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
@@ -47,13 +51,14 @@
         return all(bound.held for bound in self.bounds)
 
 
-def show(report: Report, console: Console) -> None:
+def print_report(report: Report, console: Console) -> None:
+    """Prints the table, the notes and whether each claim holds."""
     table = Table(title=f"{report.name}: {report.about}")
     names = list(dict.fromkeys(name for row in report.rows for name in row))
     for name in names:
         table.add_column(name, justify="right")
     for row in report.rows:
-        table.add_row(*(_text(row.get(name, "")) for name in names))
+        table.add_row(*(_format_cell(row.get(name, "")) for name in names))
     console.print(table)
     for note in report.notes:
         console.print(note, highlight=False)
@@ -61,12 +66,12 @@
         console.print(f"{'held' if bound.held else 'NOT HELD'}: {bound.claim}", highlight=False)
 
 
-def _text(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     return f"{value:.4g}" if isinstance(value, float) else str(value)
 
 
-def write(report: Report, folder: Path, options: dict[str, Any]) -> None:
-    """NAME.json and, for each plot, NAME.svg (NAME-2.svg, ...)."""
+def write_report(report: Report, folder: Path, options: dict[str, Any]) -> None:
+    """Writes NAME.json and, for each plot, NAME.svg (NAME-2.svg, ...)."""
     folder.mkdir(parents=True, exist_ok=True)
     found = {
         "experiment": report.name,
@@ -80,14 +85,14 @@
     }
     (folder / f"{report.name}.json").write_text(json.dumps(found, indent=2) + "\n")
     for i, plot in enumerate(report.plots, 1):
-        _draw(plot, folder / f"{report.name}{'' if i == 1 else f'-{i}'}.svg")
+        _write_plot(plot, folder / f"{report.name}{'' if i == 1 else f'-{i}'}.svg")
 
 
-def _draw(plot: Plot, path: Path) -> None:
+def _write_plot(plot: Plot, path: Path) -> None:
     import matplotlib
 
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "pulleydeal"  # the same ids in every run
+    matplotlib.rcParams["svg.hashsalt"] = "pulleydeal"  # stable element ids, for reproducible files
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
--- a/experiments/rollouts.py
+++ b/experiments/rollouts.py
@@ -1,7 +1,7 @@
-"""A named service on loopback under load, rolled to a version that turns bad at a chosen step.
+"""Rolls a named service under load to versions that are good or become unhealthy at some step.
 
-Beside it, in the same run, what people do instead: replace all at once, and replace one by one on a
-start check alone.
+For comparison, the same rollout is run in two manners without gates: replacing all copies at once,
+and replacing one copy at a time with only a start check.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from experiments.load import play
+from experiments.load import generate_load
 from experiments.processes import cpu_s
 from experiments.report import Plot, Report
 from standins.copies import Behaviour
@@ -19,14 +19,14 @@
 
 ABOUT = "12 copies in 3 zones on loopback, an open loop of requests, versions that turn bad"
 FEATURES = '[operators]\nlisten = "127.0.0.1:{operators}"\n[rollouts]\n'
-COPIES, FLOOR = 12, 11
-PER_S = 150.0  # one process plays consumers and copies: at 500 it is what is measured
-BASE: dict[str, Any] = {
+COPIES, MIN_HEALTHY = 12, 11
+REQUESTS_PER_S = 150.0  # consumers and copies share one process, which is the bottleneck at 500
+SERVICE_SPEC: dict[str, Any] = {
     "name": "web",
     "class": "web",
     "team": "core",
     "copies": COPIES,
-    "floor": FLOOR,
+    "floor": MIN_HEALTHY,
     "surge": 2,
     "steps": [1, 4],
     "cpus": 2.0,
@@ -44,18 +44,21 @@
         "grace_s": 20.0,
     },
 }
-# What people do instead, said in the same words: no floor to keep, no bake, no watch; and one by
-# one, each as soon as its start check is good.
-WAYS: dict[str, dict[str, Any]] = {
+# Strategies as changes to SERVICE_SPEC. "all at once" has no floor, no bake and no watch; "one by
+# one" replaces the next copy as soon as the start check of the previous one succeeds.
+STRATEGIES: dict[str, dict[str, Any]] = {
     "gated": {},
     "all at once": {"floor": 0, "surge": 0, "steps": [], "bake_s": 0.0, "watch_s": 0.0},
     "one by one": {"surge": 1, "steps": [], "bake_s": 0.0, "watch_s": 0.0},
 }
-# Turns bad: in the bake of the first step; and in the watch, when the old copies are gone.
+# Seconds after its start at which a copy of the new version fails: never, within the bake of the
+# first step, or within the watch, when no old copies are left.
 CASES = {"good": None, "bad in the bake": 4.0, "bad after 20 s": 20.0}
 
 
-class Stage:
+class RolloutBench:
+    """A cluster on loopback with one named service, its operator, a watcher and a consumer."""
+
     def __init__(self, folder: Path) -> None:
         self.town = Town(folder, features=FEATURES, capacity=2)
         self.town.copies.services["web"] = "web"
@@ -67,21 +70,21 @@
 
     async def start(self) -> None:
         await self.town.start()
-        for work in (self.watcher.steadily(), self.consumer.follow()):
-            self._tasks.append(asyncio.ensure_future(work))
+        for background in (self.watcher.steadily(), self.consumer.follow()):
+            self._tasks.append(asyncio.ensure_future(background))
 
     async def stop(self) -> None:
         for task in self._tasks:
             task.cancel()
         await self.town.stop()
 
-    async def roll(self, image: str, **changes: Any) -> None:
-        text = toml(BASE | changes | {"image": image})
+    async def start_rollout(self, image: str, **changes: Any) -> None:
+        text = toml(SERVICE_SPEC | changes | {"image": image})
         status, found = await self.operator.ask("POST", "/v1/rollouts", text)
         assert status == 200, found
 
-    async def until_over(self, patience_s: float) -> dict[str, Any]:
-        until = self.town.now() + patience_s
+    async def until_finished(self, timeout_s: float) -> dict[str, Any]:
+        until = self.town.now() + timeout_s
         while True:
             _, found = await self.operator.ask("GET", "/v1/services/web")
             if "rollout" not in found or self.town.now() > until:
@@ -89,59 +92,61 @@
             await asyncio.sleep(0.3)
 
 
-async def measure(way: str, case: str, seed: int, per_s: float) -> dict[str, Any]:
+async def measure(strategy: str, case: str, seed: int, requests_per_s: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="pulleydeal-rollouts-") as folder:
-        stage = Stage(Path(folder))
+        bench = RolloutBench(Path(folder))
         try:
-            await stage.start()
-            await stage.roll("img-1", bake_s=1.0, watch_s=1.0)
-            await stage.until_over(90.0)
-            town, floor = stage.town, Floor(FLOOR, stage.town.now())
-            stage.watcher.floors["web"] = floor
-            stage.town.copies.behaviours["img-2"] = Behaviour(fails_after_s=CASES[case])
+            await bench.start()
+            await bench.start_rollout("img-1", bake_s=1.0, watch_s=1.0)
+            await bench.until_finished(90.0)
+            town, floor = bench.town, Floor(MIN_HEALTHY, bench.town.now())
+            bench.watcher.floors["web"] = floor
+            bench.town.copies.behaviours["img-2"] = Behaviour(fails_after_s=CASES[case])
             pids = [p.pid for p in town.processes.values()]
-            cpu, began = sum(map(cpu_s, pids)), town.now()
+            cpu, started = sum(map(cpu_s, pids)), town.now()
             written = town.state.ledger
-            await stage.roll("img-2", **WAYS[way])
+            await bench.start_rollout("img-2", **STRATEGIES[strategy])
 
             async def request(_: int) -> str:
-                return await stage.consumer.request()
+                return await bench.consumer.request()
 
-            for_s = 12.0 if case == "bad in the bake" and way == "gated" else 45.0
+            duration_s = 12.0 if case == "bad in the bake" and strategy == "gated" else 45.0
             rng = random.Random(seed)
-            load = asyncio.ensure_future(play(request, per_s, for_s, town.clock, rng))
-            found = await stage.until_over(for_s)
+            load = asyncio.ensure_future(
+                generate_load(request, requests_per_s, duration_s, town.clock, rng)
+            )
+            found = await bench.until_finished(duration_s)
             result = await load
-            took = town.now() - began
+            elapsed_s = town.now() - started
             total = sum(result.counts.values())
             return {
-                "way": way,
+                "way": strategy,
                 "version": case,
                 "fewest healthy": floor.fewest,
                 "requests": total,
                 "unanswered": total - result.counts["200"],
-                "first try bad": sum(n for k, n in stage.consumer.first.items() if k != "200"),
+                "first try bad": sum(n for k, n in bench.consumer.first.items() if k != "200"),
                 "p99 ms": result.ms(99),
                 "serves": found.get("good"),
                 "transactions": town.state.ledger - written,
-                "nodes' cpu": (sum(map(cpu_s, pids)) - cpu) / took,
+                "nodes' cpu": (sum(map(cpu_s, pids)) - cpu) / elapsed_s,
             }
         finally:
-            await stage.stop()
+            await bench.stop()
 
 
 async def run(quick: bool, seed: int) -> Report:
     report = Report("rollouts", ABOUT)
-    per_s = 100.0 if quick else PER_S
-    for way in ["gated"] if quick else WAYS:
+    requests_per_s = 100.0 if quick else REQUESTS_PER_S
+    for strategy in ["gated"] if quick else STRATEGIES:
         for case in ["bad in the bake"] if quick else CASES:
-            report.rows.append(await measure(way, case, seed, per_s))
+            report.rows.append(await measure(strategy, case, seed, requests_per_s))
     gated = [row for row in report.rows if row["way"] == "gated"]
     report.bound("gated: no request unanswered", all(not r["unanswered"] for r in gated))
     held = [r for r in gated if r["version"] != "bad after 20 s"]
     report.bound(
-        f"gated: never under the floor of {FLOOR}, sampled at every change",
-        all(r["fewest healthy"] >= FLOOR for r in held),
+        f"gated: never under the floor of {MIN_HEALTHY}, sampled at every change",
+        all(r["fewest healthy"] >= MIN_HEALTHY for r in held),
     )
     bad = [r for r in gated if r["version"] != "good"]
     report.bound("gated: a bad version does not stay", all(r["serves"] == 1 for r in bad))
@@ -155,12 +160,12 @@
             "case (good, bad in the bake, bad after 20 s)",
             "copies",
             {
-                way: [
+                strategy: [
                     (float(list(CASES).index(r["version"])), float(r["fewest healthy"]))
                     for r in report.rows
-                    if r["way"] == way
+                    if r["way"] == strategy
                 ]
-                for way in dict.fromkeys(r["way"] for r in report.rows)
+                for strategy in dict.fromkeys(r["way"] for r in report.rows)
             },
         )
     )
--- a/experiments/rolloutscale.py
+++ b/experiments/rolloutscale.py
@@ -1,4 +1,4 @@
-"""What many named services cost one node: processor, memory, requests to the state service."""
+"""Measures what named services cost one node: processor, memory and state transactions."""
 
 import asyncio
 import tempfile
@@ -7,16 +7,16 @@
 
 from experiments.processes import cpu_s, memory_mb
 from experiments.report import Plot, Report
-from experiments.rollouts import BASE, FEATURES
+from experiments.rollouts import FEATURES, SERVICE_SPEC
 from standins.services import Operator, toml
 from standins.town import Town
 
 ABOUT = "one node leads services of 12 copies that serve; checks each 2 s, registrations each 3 s"
 SIZES = (0, 5, 10, 20)
-QUICK = (1,)
+QUICK_SIZES = (1,)
 SETTLE_S = 25.0
 MEASURE_S = 20.0
-WATCHED: dict[str, Any] = {
+LIGHT_SPEC: dict[str, Any] = {
     "cpus": 0.1,
     "memory_gb": 0.2,
     "surge": 2,
@@ -35,7 +35,9 @@
             operator = Operator({"node-0": f"127.0.0.1:{town.operators['node-0']}"}, town.clock)
             for n in range(services):
                 text = toml(
-                    BASE | WATCHED | {"name": f"web-{n}", "class": f"web-{n}", "image": "i"}
+                    SERVICE_SPEC
+                    | LIGHT_SPEC
+                    | {"name": f"web-{n}", "class": f"web-{n}", "image": "i"}
                 )
                 status, found = await operator.ask("POST", "/v1/rollouts", text)
                 assert status == 200, found
@@ -44,9 +46,9 @@
             cpu, began, ledger = cpu_s(pid), town.now(), town.state.ledger
             checked = sum(sum(c.answered.values()) for c, _ in town.copies.live.values())
             await asyncio.sleep(measure_s)
-            took = town.now() - began
+            elapsed_s = town.now() - began
             answered = sum(sum(c.answered.values()) for c, _ in town.copies.live.values())
-            good = sum(c.good() for c, _ in town.copies.live.values())
+            healthy = sum(c.good() for c, _ in town.copies.live.values())
             sizes = [
                 len(str(value[0]))
                 for key, value in town.state.keys.items()
@@ -54,11 +56,11 @@
             ]
             return {
                 "services": services,
-                "copies": good,
-                "cpu of a core": (cpu_s(pid) - cpu) / took,
+                "copies": healthy,
+                "cpu of a core": (cpu_s(pid) - cpu) / elapsed_s,
                 "memory MB": memory_mb(pid),
-                "checks a second": (answered - checked) / took,
-                "transactions a second": (town.state.ledger - ledger) / took,
+                "checks a second": (answered - checked) / elapsed_s,
+                "transactions a second": (town.state.ledger - ledger) / elapsed_s,
                 "largest record B": max(sizes, default=0),
             }
         finally:
@@ -67,7 +69,7 @@
 
 async def run(quick: bool, seed: int) -> Report:
     report = Report("rolloutscale", ABOUT)
-    for services in QUICK if quick else SIZES:
+    for services in QUICK_SIZES if quick else SIZES:
         settle_s, measure_s = (12.0, 3.0) if quick else (SETTLE_S, MEASURE_S)
         report.rows.append(await measure(services, settle_s, measure_s))
     report.bound(
--- a/experiments/scale.py
+++ b/experiments/scale.py
@@ -1,4 +1,4 @@
-"""Real nodes with hollow workers at growing sizes: what each further worker, start, task costs."""
+"""Measures real nodes with hollow workers at growing sizes, for the cost per worker and start."""
 
 import asyncio
 import sys
@@ -14,8 +14,8 @@
 from standins.town import TownError
 
 ABOUT = "whole nodes as processes, hollow workers over loopback, the state service's limits held"
-# Of a state service that takes whatever comes: shows what limits next.
-RAISED: dict[str, Any] = {"write_rps": 4_000.0, "rps": 8_000.0}
+# State service limits high enough not to matter, to find the next bottleneck.
+RAISED_LIMITS: dict[str, Any] = {"write_rps": 4_000.0, "rps": 8_000.0}
 SWEEPS: dict[str, list[Size]] = {
     "workers": [Size(workers=n) for n in (300, 600, 1_200, 2_400)],
     "more nodes": [Size(workers=4_800, nodes=n) for n in (3, 6)],
@@ -23,18 +23,18 @@
     "members": [Size(workers=300, nodes=n) for n in (3, 5, 7, 9)],
     "starts, limits held": [Size(workers=600, starts_per_s=n) for n in (20, 40, 80, 160, 320)],
     "starts, limits raised": [
-        Size(workers=600, starts_per_s=n, **RAISED) for n in (10, 20, 40, 80)
+        Size(workers=600, starts_per_s=n, **RAISED_LIMITS) for n in (10, 20, 40, 80)
     ],
 }
 JOURNAL = "[journal]\n"
 SWEEPS["starts, journal"] = [
     Size(workers=600, starts_per_s=n, features=JOURNAL) for n in (20, 40, 80, 160, 320)
 ]
-# Starts at the rate that is expected of so many workers, with the mechanism and without; the last
-# with as many processes as this machine has cores for.
-STARTS_A_WORKER = 3_900 / 24_000
+# Expected start rate for the number of workers, with and without the journal. The last size has
+# as many node processes as the test machine has cores for.
+STARTS_PER_WORKER_PER_S = 3_900 / 24_000
 SWEEPS["a cell"] = [
-    Size(workers=n, nodes=nodes, starts_per_s=n * STARTS_A_WORKER, features=features)
+    Size(workers=n, nodes=nodes, starts_per_s=n * STARTS_PER_WORKER_PER_S, features=features)
     for n, nodes, features in (
         (600, 3, ""),
         (600, 3, JOURNAL),
@@ -46,11 +46,11 @@
 ]
 FAULTS = "faults"
 SWEEPS[FAULTS] = [Size(workers=600, features=JOURNAL)]
-QUICK = {
+QUICK_SWEEPS = {
     "workers": [Size(workers=n, tasks_per_worker=8, settle_s=4.0, measure_s=6.0) for n in (40, 80)]
 }
-# What the table shows of each run; all of it is in the JSON.
-SHOWN = (
+# Columns of the table; the JSON file holds all columns.
+SHOWN_COLUMNS = (
     "sweep",
     "workers",
     "nodes",
@@ -65,8 +65,8 @@
     "urgent worst s",
     "rules broken",
 )
-# Sweep -> what is fitted over it: (x, y).
-FITTED = {
+# Sweep -> (x, y) column pairs through which lines are fitted.
+FITTED_COLUMNS = {
     "workers": [
         ("workers", "reports/s"),
         ("workers", "cores of all nodes"),
@@ -93,13 +93,13 @@
         ("starts/s", "watch KB/s a node"),
     ],
 }
-URGENT_S = 8.2  # the operators' bound for the start of urgent work
+URGENT_START_LIMIT_S = 8.2  # the operators' limit for the start of urgent work
 
 
 def slopes(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """A line for each pair of FITTED that was measured at two sizes or more."""
+    """Fits a line for each pair of FITTED_COLUMNS that was measured at two or more values of x."""
     found = []
-    for sweep, pairs in FITTED.items():
+    for sweep, pairs in FITTED_COLUMNS.items():
         measured = [row for row in rows if row["sweep"] == sweep]
         for x, y in pairs:
             if len({row[x] for row in measured}) < 2:
@@ -119,36 +119,36 @@
     return found
 
 
-async def _one(report: Report, sweep: str, size: Size, faults: bool) -> None:
-    """One size; a run that fails is told, and the others go on."""
+async def _run_size(report: Report, sweep: str, size: Size, faults: bool) -> None:
+    """Runs one size; a failure is reported and the remaining sizes continue."""
     try:
-        _note(report, {"sweep": sweep} | await play(size, faults))
+        _add_row(report, {"sweep": sweep} | await play(size, faults))
     except (TownError, TimeoutError) as error:
-        said = f"{sweep}, {size.workers} workers, {size.starts_per_s:.0f} starts/s: {error!r}"
-        report.notes.append(f"did not run: {said}")
-        print(f"did not run: {said}", file=sys.stderr, flush=True)
-    await asyncio.sleep(1.0)  # the sockets of this size are closing
+        failure = f"{sweep}, {size.workers} workers, {size.starts_per_s:.0f} starts/s: {error!r}"
+        report.notes.append(f"did not run: {failure}")
+        print(f"did not run: {failure}", file=sys.stderr, flush=True)
+    await asyncio.sleep(1.0)  # lets the sockets of this size close
 
 
-def _note(report: Report, row: dict[str, Any]) -> None:
+def _add_row(report: Report, row: dict[str, Any]) -> None:
     report.details.append(row)
-    report.rows.append({name: row[name] for name in SHOWN})
-    text = ", ".join(f"{name} {_short(row[name])}" for name in SHOWN)
-    print(text, file=sys.stderr, flush=True)  # progress: a full run takes a quarter of an hour
+    report.rows.append({name: row[name] for name in SHOWN_COLUMNS})
+    text = ", ".join(f"{name} {_format_value(row[name])}" for name in SHOWN_COLUMNS)
+    print(text, file=sys.stderr, flush=True)  # progress; a full run takes 15 minutes
 
 
-def _short(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return f"{value:.3g}" if isinstance(value, float) else str(value)
 
 
 async def run(quick: bool, seed: int, only: Sequence[str] = ()) -> Report:
-    """`only`: names of the sweeps that are run; none: all."""
+    """Runs the sweeps named in `only`, or all if it is empty."""
     report = Report("scale", ABOUT)
     report.notes.append(f"sockets allowed to one process: {raise_socket_limit()}")
-    for sweep, sizes in (QUICK if quick else SWEEPS).items():
+    for sweep, sizes in (QUICK_SWEEPS if quick else SWEEPS).items():
         for size in sizes if not only or sweep in only else ():
-            await _one(report, sweep, replace(size, seed=seed), faults=sweep == FAULTS)
-    _judge(report)
+            await _run_size(report, sweep, replace(size, seed=seed), faults=sweep == FAULTS)
+    _check_bounds(report)
     for line in slopes(report.details):
         report.notes.append(
             f"{line['sweep']}: {line['y']} = {line['at zero']:.4g} + {line['a unit']:.4g} x"
@@ -169,7 +169,7 @@
     return report
 
 
-def _judge(report: Report) -> None:
+def _check_bounds(report: Report) -> None:
     report.bound("every size ran", not any("did not run" in note for note in report.notes))
     report.bound("no rule broken", all(row["rules broken"] == 0 for row in report.details))
     report.bound("no node ended by itself", not any(row["nodes ended"] for row in report.details))
@@ -178,6 +178,8 @@
     )
     workers = [row for row in report.details if row["sweep"] == "workers"]
     report.bound(
-        f"99% of urgent work started within {URGENT_S} s at every number of workers",
-        all(row["urgent started"] and row["urgent p99 s"] <= URGENT_S for row in workers),
+        f"99% of urgent work started within {URGENT_START_LIMIT_S} s at every number of workers",
+        all(
+            row["urgent started"] and row["urgent p99 s"] <= URGENT_START_LIMIT_S for row in workers
+        ),
     )
--- a/experiments/scale_cell.py
+++ b/experiments/scale_cell.py
@@ -1,6 +1,6 @@
-"""One cell of a scale run: real nodes, hollow workers, and what is outside, as own processes.
+"""One cell of a scale run: real nodes, hollow workers and external services as processes.
 
-Everything listens on loopback; every process that is started here is ended here, by its id.
+Everything listens on loopback. Every process started here is ended here, by its process id.
 """
 
 import asyncio
@@ -23,25 +23,25 @@
 from standins.town import LOCAL, ROOT, Town, TownError
 
 WORKERS_PER_PROCESS = 400
-HOSTS_PER_NET = 250
-PROCESSES_MOST = 200
-MEMORY_SHARE_MOST = 0.5  # of the machine's memory
-SOCKETS_MOST = 500_000  # per process, as far as the hard limit lets it
+HOSTS_PER_SUBNET = 250
+MAX_PROCESSES = 200
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+MAX_SOCKETS = 500_000  # per process, if the hard limit permits
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 14.0, 34.0
-UP_S = 120.0  # until a node has loaded the largest size
-GATHER_S = 60.0  # until all processes have told the hub that they are there
+NODE_START_TIMEOUT_S = 120.0  # enough to load the largest size
+PROCESSES_CONNECT_TIMEOUT_S = 60.0  # for all processes to report to the hub
 
 
 def raise_socket_limit() -> int:
-    """Of this process and those that it starts; returns what is allowed."""
+    """Raises the limit of this process and its children; returns the new limit."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = SOCKETS_MOST if hard == resource.RLIM_INFINITY else min(hard, SOCKETS_MOST)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-    return wanted
+    soft_limit = MAX_SOCKETS if hard == resource.RLIM_INFINITY else min(hard, MAX_SOCKETS)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard))
+    return soft_limit
 
 
 def free_ports(count: int) -> list[int]:
-    """All different, as all are held at once while they are looked for."""
+    """Returns distinct free ports: all are bound at once before they are released."""
     probes = [socket.socket() for _ in range(count)]
     for probe in probes:
         probe.bind((LOCAL, 0))
@@ -52,9 +52,12 @@
 
 
 def worker_address(number: int, port: int) -> str:
-    """An address of loopback of its own: a free port found now may be another connection's when
-    thousands of workers come to listen. `port`: the hub's, which no other cell has meanwhile."""
-    return f"127.1.{number // HOSTS_PER_NET}.{1 + number % HOSTS_PER_NET}:{port}"
+    """Returns a separate loopback address for each worker.
+
+    Free ports found in advance could be taken by other connections before thousands of workers
+    listen on them. `port` is the hub's, which no other cell uses at the same time.
+    """
+    return f"127.1.{number // HOSTS_PER_SUBNET}.{1 + number % HOSTS_PER_SUBNET}:{port}"
 
 
 def machine_memory_mb() -> float:
@@ -65,6 +68,8 @@
 
 
 class Cell(Town):
+    """A cell whose workers and external services run in processes of their own."""
+
     def __init__(self, folder: Path, size: Size) -> None:
         limits = {
             "rps": size.rps,
@@ -73,17 +78,17 @@
             "txn_ops": size.txn_ops,
         }
         super().__init__(folder, size.nodes, limits=limits, features=size.features)
-        self.up_s = UP_S
+        self.up_s = NODE_START_TIMEOUT_S
         self.size = size
         self.hub = Hub({"core": 0.0}, CANCEL_S)
-        self.outside: asyncio.subprocess.Process | None = None
-        self.hollow: list[asyncio.subprocess.Process] = []
-        self.load_s: dict[str, float] = {}  # node -> from its start until it serves
+        self.external_process: asyncio.subprocess.Process | None = None
+        self.worker_processes: list[asyncio.subprocess.Process] = []
+        self.load_s: dict[str, float] = {}  # node -> seconds from its start until it serves
         self.workers_planned: list[HollowWorker] = []
 
     def settings(self, name: str) -> dict[str, Any]:
         found = super().settings(name)
-        # Workers keep a connection each, and nodes call workers and one another.
+        # Each worker keeps a connection open, and nodes connect to workers and to other nodes.
         sockets = 4 * self.size.workers + 2_000
         found["deployment"]["machine_limits"] = {"max_sockets": sockets}
         return found
@@ -95,17 +100,17 @@
         hub_port = free_ports(1)[0]
         addresses = [worker_address(number, hub_port) for number in range(size.workers)]
         self.workers_planned = hollow_workers(size, jobs, addresses)
-        self._know_held(jobs)
+        self._register_initial_tasks(jobs)
         await self.hub.start(LOCAL, hub_port)
         hub = f"{LOCAL}:{hub_port}"
-        self.outside = await self._spawn_outside(hub, jobs)
-        await self._gathered(1)
+        self.external_process = await self._spawn_external_services(hub, jobs)
+        await self._until_connected(1)
         for name in self.nodes:
             await self.start_node(name)
         await asyncio.gather(*(self._until_loaded(name) for name in self.nodes))
-        await self._spawn_hollow(hub, jobs)
+        await self._spawn_workers(hub, jobs)
 
-    def _know_held(self, jobs: dict[str, dict[str, Any]]) -> None:
+    def _register_initial_tasks(self, jobs: dict[str, dict[str, Any]]) -> None:
         self.hub.rules.uploads = dict(jobs)
         for worker in self.workers_planned:
             for held in worker.tasks:
@@ -114,7 +119,7 @@
     async def _until_loaded(self, name: str) -> None:
         self.load_s[name] = await self.until_up(name)
 
-    async def _spawn_outside(
+    async def _spawn_external_services(
         self, hub: str, jobs: dict[str, dict[str, Any]]
     ) -> asyncio.subprocess.Process:
         size, workers = self.size, self.workers_planned
@@ -133,7 +138,7 @@
         path = self._write_plan("outside", plan)
         return await self._spawn("standins.outside", path, "outside")
 
-    async def _spawn_hollow(self, hub: str, jobs: dict[str, dict[str, Any]]) -> None:
+    async def _spawn_workers(self, hub: str, jobs: dict[str, dict[str, Any]]) -> None:
         workers = self.workers_planned
         count = -(-len(workers) // WORKERS_PER_PROCESS)
         shares = [workers[i::count] for i in range(count)]
@@ -141,48 +146,50 @@
         path = self._write_plan("hollow", plan)
         for number in range(count):
             name = f"hollow-{number}"
-            self.hollow.append(await self._spawn("standins.hollow", path, name, str(number)))
-        await self._gathered(1 + count)
+            self.worker_processes.append(
+                await self._spawn("standins.hollow", path, name, str(number))
+            )
+        await self._until_connected(1 + count)
 
     def _write_plan(self, name: str, plan: msgspec.Struct) -> Path:
-        """Before the first process that reads it: it is megabytes long."""
+        """Writes the plan once for all processes that read it, as it is several megabytes long."""
         path = self.folder / f"{name}.json"
         path.write_bytes(msgspec.json.encode(plan))
         return path
 
     async def _spawn(
-        self, module: str, path: Path, name: str, *words: str
+        self, module: str, path: Path, name: str, *arguments: str
     ) -> asyncio.subprocess.Process:
         log = (self.folder / f"{name}.log").open("ab")
         self._logs.append(log)
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, str(path), *words, cwd=ROOT, stdout=log, stderr=log
+            sys.executable, "-m", module, str(path), *arguments, cwd=ROOT, stdout=log, stderr=log
         )
 
-    async def _gathered(self, count: int) -> None:
-        async with asyncio.timeout(GATHER_S):
+    async def _until_connected(self, count: int) -> None:
+        async with asyncio.timeout(PROCESSES_CONNECT_TIMEOUT_S):
             while self.hub.processes < count:
                 self.check()
                 await asyncio.sleep(0.05)
 
     def check(self) -> None:
-        """TownError if a process of hollow workers, or what is outside, has ended."""
-        others = [p for p in (self.outside, *self.hollow) if p is not None]
-        if any(process.returncode is not None for process in others):
+        """Raises TownError if a process of hollow workers or external services has ended."""
+        stand_ins = [p for p in (self.external_process, *self.worker_processes) if p is not None]
+        if any(process.returncode is not None for process in stand_ins):
             logs = [*sorted(self.folder.glob("hollow-*.log")), self.folder / "outside.log"]
-            said = [line for log in logs for line in log.read_text().splitlines()[-1:]]
-            raise TownError(f"a stand-in has ended: {' | '.join(said[:3])}")
+            last_lines = [line for log in logs for line in log.read_text().splitlines()[-1:]]
+            raise TownError(f"stand-in process exited: {' | '.join(last_lines[:3])}")
 
     async def stop(self) -> None:
-        others = [p for p in (self.outside, *self.hollow) if p is not None]
-        for process in others:
+        stand_ins = [p for p in (self.external_process, *self.worker_processes) if p is not None]
+        for process in stand_ins:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
-        await asyncio.gather(*(process.wait() for process in others))
+        await asyncio.gather(*(process.wait() for process in stand_ins))
         self.hub.close()
         await super().stop()
 
-    # --- what it uses -----------------------------------------------------------------------
+    # --- resource usage --------------------------------------------------------------------
     def node_cpu_s(self) -> dict[str, float]:
         return {name: cpu_s(process.pid) for name, process in self.processes.items()}
 
@@ -190,12 +197,17 @@
         return {name: memory_mb(process.pid) for name, process in self.processes.items()}
 
     def state_cpu_s(self) -> float:
-        return cpu_s(self.outside.pid) if self.outside is not None else 0.0
+        return cpu_s(self.external_process.pid) if self.external_process is not None else 0.0
 
     def process_count(self) -> int:
-        return 1 + len(self.processes) + len(self.hollow) + (self.outside is not None)
+        return (
+            1
+            + len(self.processes)
+            + len(self.worker_processes)
+            + (self.external_process is not None)
+        )
 
     def all_memory_mb(self) -> float:
-        found = [p.pid for p in (*self.processes.values(), *self.hollow)]
-        found += [self.outside.pid] if self.outside is not None else []
+        found = [p.pid for p in (*self.processes.values(), *self.worker_processes)]
+        found += [self.external_process.pid] if self.external_process is not None else []
         return sum(map(memory_mb, [os.getpid(), *found]))
--- a/experiments/scale_plan.py
+++ b/experiments/scale_plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is made of: its size, the work that runs already, and the work that comes."""
+"""The workload of a scale run: its size, tasks that run at its start, and jobs that arrive."""
 
 import random
 from collections.abc import Iterator
@@ -20,28 +20,28 @@
     "ram_gb": 512.0,
     "fetch_gb_per_s": 1.0,
 }
-HELD_JOB_TASKS = 32  # tasks of each job that runs already: one chunk
+HELD_JOB_TASKS = 32  # tasks per initially running job: one chunk
 IMAGES = 8
-URGENT_PER_S = 2.0  # urgent jobs of one task, at every size: enough for a 99th percentile
+URGENT_PER_S = 2.0  # single-task urgent jobs, enough for a 99th percentile at every size
 ARRAY_TASKS = (8, 16, 32, 64)
 GANG_TASKS = (4, 8, 32, 128)
-GANG_SHARE = 0.15  # of all jobs that are not urgent
-RUN_S = 15.0  # of the tasks that come: they end within the run, so ends are measured too
+GANG_SHARE = 0.15  # of non-urgent jobs
+ARRIVING_RUN_S = 15.0  # arriving tasks end within the run, so that ends are measured too
 
 
 @dataclass(frozen=True)
 class Size:
-    """One setting of the scale run."""
+    """Parameters of one scale run."""
 
     workers: int = 300
     nodes: int = 3
-    tasks_per_worker: int = 28  # that run already; 680,000 on 24,000
-    starts_per_s: float = 10.0  # offered
+    tasks_per_worker: int = 28  # running at the start; 680,000 tasks on 24,000 workers
+    starts_per_s: float = 10.0  # offered rate
     write_rps: float = 80.0
     rps: float = 200.0
     value_kb: float = 8.0
     txn_ops: int = 32
-    features: str = ""  # text of the nodes' features file
+    features: str = ""  # content of the nodes' features file
     measure_s: float = 16.0
     settle_s: float = 7.0
     seed: int = 1
@@ -52,7 +52,7 @@
 
 
 def held_jobs(size: Size) -> dict[str, dict[str, Any]]:
-    """Jobs whose tasks run already, in a fixed order."""
+    """Returns the jobs whose tasks run at the start, in a fixed order."""
     count = -(-size.workers * size.tasks_per_worker // HELD_JOB_TASKS)
     return {
         name: job(name, lifts=HELD_JOB_TASKS, vcpus=1.0, accelerators=0.0, ram_gb=1.0, haul_s=1e6)
@@ -61,7 +61,7 @@
 
 
 def held_tasks(size: Size, jobs: dict[str, dict[str, Any]]) -> Iterator[tuple[str, int, int]]:
-    """(job, index, worker): dealt to the workers in turn."""
+    """Yields (job, index, worker), assigned to the workers round-robin."""
     number = 0
     for name, body in jobs.items():
         for index in range(body["lifts"]):
@@ -92,7 +92,7 @@
 def state_records(
     size: Size, jobs: dict[str, dict[str, Any]], workers: list[HollowWorker], wall: float
 ) -> list[tuple[str, Any]]:
-    """What an earlier life of the cluster left in the state service."""
+    """Returns the records of workers, jobs and tasks that exist before the nodes start."""
     found: list[tuple[str, object]] = []
     for worker in workers:
         record = r.MachineRecord(
@@ -121,17 +121,20 @@
     return workers
 
 
-def arriving_jobs(size: Size, for_s: float) -> list[tuple[float, dict[str, Any]]]:
-    """(seconds from the beginning, job): arrays, gangs, and urgent single tasks, by the seed."""
+def arriving_jobs(size: Size, duration_s: float) -> list[tuple[float, dict[str, Any]]]:
+    """Returns (arrival in seconds, job) for arrays, gangs and urgent tasks, drawn by the seed."""
     rng = random.Random(size.seed)
     found: list[tuple[float, dict[str, Any]]] = []
     at = 0.0
-    while (at := at + rng.expovariate(URGENT_PER_S)) < for_s:
+    while (at := at + rng.expovariate(URGENT_PER_S)) < duration_s:
         found.append((at, _job(rng, len(found), "batch", 1, "high")))
-    at, due = 0.0, max(0.0, size.starts_per_s - URGENT_PER_S)
-    mean = (1 - GANG_SHARE) * sum(ARRAY_TASKS) / len(ARRAY_TASKS)
-    mean += GANG_SHARE * sum(GANG_TASKS) / len(GANG_TASKS)
-    while due > 0 and (at := at + rng.expovariate(due / mean)) < for_s:
+    at, bulk_starts_per_s = 0.0, max(0.0, size.starts_per_s - URGENT_PER_S)
+    mean_tasks = (1 - GANG_SHARE) * sum(ARRAY_TASKS) / len(ARRAY_TASKS)
+    mean_tasks += GANG_SHARE * sum(GANG_TASKS) / len(GANG_TASKS)
+    while (
+        bulk_starts_per_s > 0
+        and (at := at + rng.expovariate(bulk_starts_per_s / mean_tasks)) < duration_s
+    ):
         if rng.random() < GANG_SHARE:
             found.append((at, _job(rng, len(found), "gang", rng.choice(GANG_TASKS), "high")))
         else:
@@ -153,10 +156,13 @@
         ram_gb=1.0,
         tackle=f"img-{rng.randrange(IMAGES)}",
         pull_gb=0.5,
-        haul_s=RUN_S,
+        haul_s=ARRIVING_RUN_S,
     )
-    # A gang ends together. Tasks of an array end one by one, spread over a run time: all at once
-    # they would share their chunk's changes as they never do.
+    # Tasks of a gang end together. Tasks of an array end one by one over a run time: if all ended
+    # at once, they would share changes of their chunk to an unrealistic degree.
     if kind == "gang":
-        return body | {"_run_s": RUN_S * rng.uniform(0.5, 1.5)}
-    return body | {"_run_s": RUN_S * rng.uniform(0.25, 0.75), "_each_s": RUN_S / tasks}
+        return body | {"_run_s": ARRIVING_RUN_S * rng.uniform(0.5, 1.5)}
+    return body | {
+        "_run_s": ARRIVING_RUN_S * rng.uniform(0.25, 0.75),
+        "_each_s": ARRIVING_RUN_S / tasks,
+    }
--- a/experiments/served.py
+++ b/experiments/served.py
@@ -1,7 +1,7 @@
-"""Whether each class and each team is served: of what was asked for, how much was.
+"""Measures the share of requested work that each class and team received.
 
-`python3 -m experiments served --days DIR` reads the reports of days (JSON) in DIR; without it some
-seeds of `zoneloss` are played.
+`python3 -m experiments served --days DIR` reads reports of simulated days (JSON) in DIR. Without
+`--days`, some seeds of `zoneloss` are run.
 """
 
 import json
@@ -14,24 +14,29 @@
 ABOUT = "share served of each class and team; a day with one under a half fails"
 
 
-def of_report(day: dict[str, Any]) -> dict[str, float]:
-    """The same by class from the report of a simulated day: tasks of services that are up, and
-    of the others the jobs that started."""
+def served_by_class(day: dict[str, Any]) -> dict[str, float]:
+    """Returns the served share of each class from the report of a simulated day.
+
+    For services this is the share of copies that are up, for other classes the share of jobs that
+    are done, not counting cancelled ones.
+    """
     found = {}
-    for name, seen in day["classes"].items():
-        jobs = seen["jobs"] - (0 if seen.get("up") is not None else seen.get("cancelled", 0))
-        started = seen["started"] / jobs if jobs > 0 else 1.0
-        done = seen["done"] / jobs if jobs > 0 and seen.get("up") is None else started
-        found[name] = min(1.0, seen["up"] if seen.get("up") is not None else done)
+    for name, class_stats in day["classes"].items():
+        jobs = class_stats["jobs"] - (
+            0 if class_stats.get("up") is not None else class_stats.get("cancelled", 0)
+        )
+        started = class_stats["started"] / jobs if jobs > 0 else 1.0
+        done = class_stats["done"] / jobs if jobs > 0 and class_stats.get("up") is None else started
+        found[name] = min(1.0, class_stats["up"] if class_stats.get("up") is not None else done)
     return found
 
 
 async def run(quick: bool, seed: int) -> Report:
-    from experiments.zoneloss import one
+    from experiments.zoneloss import run_case
 
     report = Report("served", ABOUT)
     for s in range(seed * 1000, seed * 1000 + (2 if quick else 12)):
-        found = one((s, True))["served"]
+        found = run_case((s, True))["served"]
         report.rows.append({"seed": s, **found})
     least = min(least_served({k: v for k, v in r.items() if k != "seed"}) for r in report.rows)
     report.bound("half of every class and team served", least >= LEAST)
@@ -39,12 +44,13 @@
 
 
 def read(folder: Path) -> Report:
+    """Reports on the JSON reports of simulated days in a folder."""
     report = Report("served", ABOUT)
     for path in sorted(folder.glob("*.json")):
         day = json.loads(path.read_text())
         if "classes" not in day:
             continue
-        found = of_report(day)
+        found = served_by_class(day)
         least = min(found, key=lambda name: found[name], default="")
         report.rows.append({"day": path.stem, **found, "least": least})
         if found and found[least] < LEAST:
--- a/experiments/slopes.py
+++ b/experiments/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured sizes, with what they leave unexplained. Plain functions."""
+"""Least-squares lines through measurements at several sizes, with their residuals."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """y = at_zero + per_unit * x over the sizes that were measured."""
+    """y = at_zero + per_unit * x, valid over the measured sizes."""
 
     x: str
     y: str
     at_zero: float
     per_unit: float
-    residual: float  # largest distance of a measured point from the line, as part of the largest y
+    residual: float  # largest deviation of a point from the line, relative to the largest |y|
     sizes: int
 
     def at(self, x: float) -> float:
@@ -21,7 +21,7 @@
 
 
 def fit(rows: Sequence[dict[str, Any]], x: str, y: str) -> Slope:
-    """Least squares. Raises ValueError for fewer than two different sizes."""
+    """Fits by least squares; raises ValueError for fewer than two different values of x."""
     points = [(float(row[x]), float(row[y])) for row in rows]
     mean_x = sum(px for px, _ in points) / max(1, len(points))
     mean_y = sum(py for _, py in points) / max(1, len(points))
--- a/experiments/startup.py
+++ b/experiments/startup.py
@@ -1,4 +1,4 @@
-"""What features that are off cost a node: start-up and memory, with and without a features file."""
+"""Measures a node's start-up time and memory without features and with the operators interface."""
 
 import statistics
 import tempfile
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md's sums stand as the kept results give them."""
+"""docs/CAPACITY.md agrees with the stored results."""
 
 from pathlib import Path
 
@@ -7,19 +7,19 @@
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
 
 
-def test_the_page_shows_what_the_kept_results_give() -> None:
+def test_page_matches_stored_results() -> None:
     shown = capacity.on_page(PAGE.read_text())
     assert shown == capacity.table(capacity.load()), "python3 -m experiments.capacity prints it"
 
 
-def test_another_result_changes_the_page() -> None:
+def test_changed_results_change_the_table() -> None:
     rows = capacity.load()
     before = capacity.table(rows)
-    dearer = [row | {"cores of all nodes": row["cores of all nodes"] * 2} for row in rows]
-    assert capacity.table(dearer) != before
+    costlier = [row | {"cores of all nodes": row["cores of all nodes"] * 2} for row in rows]
+    assert capacity.table(costlier) != before
 
 
-def test_every_figure_says_where_it_comes_from() -> None:
-    for line in capacity.lines(capacity.load()):
+def test_every_row_names_its_source() -> None:
+    for line in capacity.capacity_rows(capacity.load()):
         assert line.source.startswith(("measured", "published", "assumed", "by the code")), line
-        assert line.mechanism and line.breaks_at, line
+        assert line.mechanism and line.limit_reached_at, line
