--- a/pulleydeal/recurring/cli.py
+++ b/pulleydeal/recurring/cli.py
@@ -188,7 +188,7 @@
 
 
 def diff(address: str, table: str, entries: list[CrontabEntry]) -> int:
-    """Prints added and removed lines. Unchanged lines keep their progress in an import."""
+    """Prints added and removed lines; an import keeps the progress of unchanged ones."""
     local = {entry.id: entry for entry in entries}
     try:
         stored = {row["line"]: row for row in everything(address, f"/v1/cron/tables/{table}/lines")}
@@ -210,7 +210,7 @@
         job, zone = mapping.job_of(rules, entry), mapping.zone_of(rules, entry)
         print(f"line {entry.number}: {entry.schedule} {entry.command}")
         print(
-            f"  {job.kind} of {job.tasks}, class {job.klass}, team {job.team}, {job.priority}"
+            f"  {job.kind} of {job.tasks}, class {job.job_class}, team {job.team}, {job.priority}"
             f" priority, overlap {job.overlap}, missed {job.missed}"
         )
         at: int | None = now
--- a/pulleydeal/recurring/decide.py
+++ b/pulleydeal/recurring/decide.py
@@ -26,7 +26,7 @@
 class Outcome:
     action: Action
     instant: int  # this and all earlier instants are settled
-    why: str = ""
+    reason: str = ""
     replace: bool = False  # cancel the previous job in the same transaction
     missed_since: int = 0  # first missed instant; 0: none was missed
 
@@ -76,8 +76,8 @@
 ) -> Outcome:
     """Decides the outcome of an instant that has come (`instant <= now`).
 
-    `previous_open`: the job of the line's last firing has not ended. `refusal`: why the line's job
-    can't run any more (a team limit was lowered, a machine type was removed), or empty.
+    `previous_open`: the job of the line's last firing has not ended. `refusal`: why its job can't
+    run at present (a team limit was lowered, a machine type was removed), or empty.
     """
     if now - instant > kc.MISSED_AFTER_S and line.expression != "@reboot":
         # No node fired it in time. With missed=once only the latest missed instant is fired.
@@ -97,8 +97,8 @@
 
 def _fire(line: Line, instant: int, previous_open: bool, missed_since: int) -> Outcome:
     if previous_open and line.job.overlap == "skip":
-        why = "the job before it is not over"
-        return Outcome("skip", instant, why, missed_since=missed_since)
+        reason = "the job before it is not over"
+        return Outcome("skip", instant, reason, missed_since=missed_since)
     replace = previous_open and line.job.overlap == "replace"
     return Outcome("fire", instant, "", replace, missed_since)
 
@@ -108,7 +108,7 @@
     old = progress or LineProgress(added_in=version)
     if outcome.action == "fire":
         return LineProgress(outcome.instant, old.job_count + 1, outcome.instant, old.added_in)
-    note = f"{outcome.action}: {outcome.why}"[: kc.MAX_NOTE_CHARS]
+    note = f"{outcome.action}: {outcome.reason}"[: kc.MAX_NOTE_CHARS]
     return LineProgress(outcome.instant, old.job_count, old.last_job_at, old.added_in, note)
 
 
--- a/pulleydeal/recurring/interface.py
+++ b/pulleydeal/recurring/interface.py
@@ -112,7 +112,7 @@
 
     # --- reading ------------------------------------------------------------------------------
     async def _list(self, request: Asked) -> Any:
-        by_name = {name: self._service.table(name) for name in self._service.names()}
+        by_name = {name: self._service.table(name) for name in self._service.table_names()}
         listed = [name for name, table in by_name.items() if table and not table.removed]
         return page(request, listed, self._summary)
 
--- a/pulleydeal/recurring/mapping.py
+++ b/pulleydeal/recurring/mapping.py
@@ -18,7 +18,7 @@
     """The job that a firing submits, and the rules for firing. Times are in seconds."""
 
     team: ShortText
-    klass: ShortText = msgspec.field(name="class")
+    job_class: ShortText = msgspec.field(name="class")
     image: ShortText
     cpus: Amount
     memory_gb: Amount
@@ -43,7 +43,7 @@
     def spec(self, job_id: str) -> r.JobSpec:
         return r.JobSpec(
             job_id,
-            self.klass,
+            self.job_class,
             self.team,
             self.kind,
             r.PRIORITIES.index(self.priority),
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -76,7 +76,7 @@
                 f" service allows {self.node.store.limits.ops}: disable the recurring feature"
             )
 
-    def names(self) -> list[str]:
+    def table_names(self) -> list[str]:
         return [name.removeprefix("t/") for name in self.records.names("t/")]
 
     def table(self, name: str) -> st.Table | None:
@@ -96,7 +96,7 @@
         if not self.records.ready:
             self.loaded.clear()
             return
-        led = {name for name in self.names() if self.records.leads(name)}
+        led = {name for name in self.table_names() if self.records.leads(name)}
         for name in [name for name in self.loaded if name not in led]:
             del self.loaded[name]
         for name in sorted(led):
@@ -223,7 +223,9 @@
                 self._add_job(name, due_line.line, progress, outcome, job_puts, job_reads)
             if outcome.missed_since or outcome.action == "refuse":
                 since = f" since {outcome.missed_since}" if outcome.missed_since else ""
-                notes.append(f"line {due_line.line.number} {outcome.action}{since}: {outcome.why}")
+                notes.append(
+                    f"line {due_line.line.number} {outcome.action}{since}: {outcome.reason}"
+                )
         conditions = {
             st.bucket_record_name(name, number): self.records.mark(
                 st.bucket_record_name(name, number)
--- a/pulleydeal/recurring/state.py
+++ b/pulleydeal/recurring/state.py
@@ -46,7 +46,7 @@
 
 
 class HistoryEntry(Struct, omit_defaults=True):
-    at: float
+    at: float  # wall clock, seconds
     what: str
     why: str = ""
 
--- a/pulleydeal/recurring/tables.py
+++ b/pulleydeal/recurring/tables.py
@@ -21,8 +21,8 @@
 
     name: str
     version: str
-    at: int
-    resumed: int
+    at: int  # as in the table record
+    resumed: int  # as in the table record
     lines: dict[str, Line]
     queue: list[tuple[int, str]] = field(default_factory=list)  # next instant, line
     # Line -> its valid instant in `queue`; any other item of the line there is stale.
