--- a/pulleydeal/rollouts/__init__.py
+++ b/pulleydeal/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Health-gated roll-outs of named services: advance while copies prove healthy, else return."""
+"""Health-gated roll-outs of named services: advance while new copies are healthy, else return."""
--- a/pulleydeal/rollouts/cli.py
+++ b/pulleydeal/rollouts/cli.py
@@ -21,28 +21,28 @@
     show_json,
     table,
 )
-from pulleydeal.rollouts.description import DescriptionError, read
+from pulleydeal.rollouts.description import DescriptionError, load
 
-LOOK_S = 1.0  # between two looks of `watch`
+REFRESH_S = 1.0  # refresh interval of `watch`
 
 
 def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="pulleydeal", description=__doc__)
-    groups = top.add_subparsers(dest="group", required=True)
+    root = argparse.ArgumentParser(prog="pulleydeal", description=__doc__)
+    groups = root.add_subparsers(dest="group", required=True)
     rollout = groups.add_parser("rollout", help="roll-outs of named services")
     service = groups.add_parser("service", help="named services")
-    for group, words in (
+    for group, verbs in (
         (rollout, {"check": "FILE", "start": "FILE"}),
         (rollout, dict.fromkeys(("status", "watch", "pause", "resume", "abort", "history"), "")),
         (service, {"list": None, "show": "", "endpoints": "", "remove": ""}),
     ):
         if not hasattr(group, "verbs"):
             group.verbs = group.add_subparsers(dest="verb", required=True)  # type: ignore[attr-defined]
-        for word, takes in words.items():
-            verb = group.verbs.add_parser(word)  # type: ignore[attr-defined]
-            if takes == "FILE":
+        for verb_name, argument in verbs.items():
+            verb = group.verbs.add_parser(verb_name)  # type: ignore[attr-defined]
+            if argument == "FILE":
                 verb.add_argument("file", type=Path, help="the service's description (TOML)")
-            elif takes is not None:
+            elif argument is not None:
                 verb.add_argument("service", help="the service's name")
             verb.add_argument("--json", action="store_true", help="the answer as it came")
             verb.add_argument(
@@ -50,7 +50,7 @@
                 default=os.environ.get(VARIABLE, DEFAULT),
                 help=f"a node's operators' address (default: ${VARIABLE} or {DEFAULT})",
             )
-    return top
+    return root
 
 
 def main(argv: list[str]) -> int:
@@ -61,7 +61,7 @@
 def run(options: argparse.Namespace) -> int:
     verb, address = options.verb, options.operators
     if verb in ("check", "start"):
-        read(options.file)  # faults of its own are told with the file's name, without a node
+        load(options.file)  # reports the file's own errors under its name, without asking a node
         path = "/v1/rollouts/check" if verb == "check" else "/v1/rollouts"
         found = ask(address, "POST", path, options.file.read_bytes())
         if options.json:
@@ -114,27 +114,29 @@
     return text
 
 
-COPY_NAMES = ["copy", "version", "zone", "state", "for", "why"]
+COPY_COLUMNS = ["copy", "version", "zone", "state", "for", "why"]
 
 
-def copy_lines(found: dict[str, Any]) -> list[list[str]]:
-    lines = []
+def copy_rows(found: dict[str, Any]) -> list[list[str]]:
+    table_rows = []
     for x in found["copies"]:
         state = "leaving" if x["leaving"] else x.get("state", "ask its leader")
         for_s = f"{x['for_s']:.0f} s" if "for_s" in x else ""
-        lines.append([str(x["copy"]), str(x["version"]), x["zone"], state, for_s, x.get("why", "")])
-    return lines
+        table_rows.append(
+            [str(x["copy"]), str(x["version"]), x["zone"], state, for_s, x.get("why", "")]
+        )
+    return table_rows
 
 
 def show_service(found: dict[str, Any]) -> int:
-    rows(headline(found), COPY_NAMES, copy_lines(found))
+    rows(headline(found), COPY_COLUMNS, copy_rows(found))
     return 0
 
 
 def show_endpoints(found: dict[str, Any]) -> int:
     names = ["address", "version", "zone", "job"]
-    lines = [[str(x[name]) for name in names] for x in found["ready"]]
-    rows(f"{found['service']}: revision {found['revision']}", names, lines)
+    table_rows = [[str(x[name]) for name in names] for x in found["ready"]]
+    rows(f"{found['service']}: revision {found['revision']}", names, table_rows)
     return 0
 
 
@@ -148,7 +150,7 @@
 
 
 def watch(address: str, path: str) -> int:
-    """A live view until the roll-out is over or Ctrl-C."""
+    """Shows a live view until the roll-out has ended or Ctrl-C is pressed."""
     try:
         from rich.console import Group
         from rich.live import Live
@@ -164,16 +166,16 @@
         r = shown.get("rollout")
         if r:
             new = sum(x["version"] == r["to"] for x in shown["copies"])
-            done, most = new, r["wanted"][-1] if r["wanted"] else max(1, new)
-            steps = Text(f"[{'#' * done}{'.' * max(0, most - done)}] {done} of {most} copies\n")
-        made = table(Table, headline(shown), COPY_NAMES, copy_lines(shown))
-        return Group(made, steps)
+            done, total = new, r["wanted"][-1] if r["wanted"] else max(1, new)
+            steps = Text(f"[{'#' * done}{'.' * max(0, total - done)}] {done} of {total} copies\n")
+        copies_table = table(Table, headline(shown), COPY_COLUMNS, copy_rows(shown))
+        return Group(copies_table, steps)
 
     shown = ask(address, "GET", path)
     try:
         with Live(view(), refresh_per_second=4) as live:
             while shown.get("rollout"):
-                time.sleep(LOOK_S)
+                time.sleep(REFRESH_S)
                 shown = ask(address, "GET", path)
                 live.update(view())
     except KeyboardInterrupt:
--- a/pulleydeal/rollouts/decide.py
+++ b/pulleydeal/rollouts/decide.py
@@ -1,7 +1,8 @@
-"""What a service's leader does next: a plain function of the record and of what it sees.
+"""Decides the next step for a service: a pure function of its record and one observation.
 
-One decision is one transaction. Every way to stop a copy goes through `_removable`, which keeps
-the floor; every way to start one through `_start`, which keeps to the surge.
+Each decision is carried out in one transaction. Copies that may be healthy are taken out only
+through `_removable`, which keeps the floor, and copies are started only through `_start`, which
+bounds their number.
 """
 
 from collections import Counter
@@ -9,334 +10,389 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, STARTING, UNHEALTHY, UNKNOWN
 from pulleydeal.rollouts.description import Description
-from pulleydeal.rollouts.look import Look
+from pulleydeal.rollouts.look import ServiceView
 from pulleydeal.rollouts.seen import (
+    CopyStatus,
     Decision,
-    Seen,
-    World,
-    line_of,
-    named,
-    version_of,
+    Observation,
+    evidence_line,
+    slots_text,
+    version_and_zone,
 )
 from pulleydeal.rollouts.state import Service, Slot
 
-# Who goes first when copies are to go: those that serve least.
-RANK = {UNHEALTHY: 0, QUEUED: 1, STARTING: 2, UNKNOWN: 3, HEALTHY: 4}
+# Removal order by state: the least useful copies go first.
+REMOVAL_RANK = {UNHEALTHY: 0, QUEUED: 1, STARTING: 2, UNKNOWN: 3, HEALTHY: 4}
 
 
-def decide(service: Service, descriptions: dict[int, Description], world: World) -> Decision | None:
+def decide(
+    service: Service, descriptions: dict[int, Description], observation: Observation
+) -> Decision | None:
     """The next step, or None when there is nothing to do but wait."""
     current = service.rollout.to if service.rollout else service.good
     if current not in descriptions:
-        return None  # nothing was ever good here, or its description is still on its way
-    return _Steps(service, descriptions, world).next()
+        return None  # no version was ever good, or its description has not been read yet
+    return _Planner(service, descriptions, observation).next_step()
 
 
-class _Steps(Look):
-    """Chooses one step of those that are due."""
+class _Planner(ServiceView):
+    """Selects the first step that is due, in a fixed order of precedence."""
 
-    def next(self) -> Decision | None:
-        found = self._forget() or self._leave() or self._against() or self._passed_deadline()
+    def next_step(self) -> Decision | None:
+        found = (
+            self._remove_ended()
+            or self._stop_drained()
+            or self._check_failures()
+            or self._check_deadline()
+        )
         if found is not None:
             return found
-        if self.stands:
-            return self._refill() if len(self.present) < self.least() else None
-        change = None if self.r and self.r.paused else self._change
+        if self.on_hold:
+            return self._refill() if len(self.present) < self.min_healthy() else None
+        change = None if self.rollout and self.rollout.paused else self._change_copies
         return (
             self._refill()
             or self._move_queued()
             or (change() if change else None)
-            or self._forward()
-            or self._hold()
+            or self._advance()
+            or self._report_hold()
         )
 
-    def _forget(self) -> Decision | None:
-        """Copies whose jobs are over: ended by us, or by a user who cancelled one."""
-        over = [x for x in self.world.copies if x.over]
-        if not over:
+    def _remove_ended(self) -> Decision | None:
+        """Drops the slots of copies whose jobs have ended, for instance cancelled by a user."""
+        ended = [x for x in self.observation.copies if x.job_ended]
+        if not ended:
             return None
-        gone = {x.slot.serial for x in over}
-        self.s.slots = [x for x in self.s.slots if x.serial not in gone]
-        lines = [f"copy {x.slot.serial} ({version_of(x.slot)}): {x.why}" for x in over]
-        return Decision(self.s, f"{len(over)} copies are gone", "their jobs were ended", lines)
+        gone = {x.slot.serial for x in ended}
+        self.service.slots = [x for x in self.service.slots if x.serial not in gone]
+        lines = [f"copy {x.slot.serial} ({version_and_zone(x.slot)}): {x.reason}" for x in ended]
+        return Decision(
+            self.service, f"{len(ended)} copies are gone", "their jobs were ended", lines
+        )
 
-    def _leave(self) -> Decision | None:
-        """Copies out of the endpoints are stopped when their requests are over, or time is."""
+    def _stop_drained(self) -> Decision | None:
+        """Stops copies taken out of the endpoints once they are idle, failed or out of time."""
         ready = []
-        for slot in self.s.slots:
-            seen = self.by_serial.get(slot.serial)
-            if not slot.leaving or seen is None:
+        for slot in self.service.slots:
+            status = self.by_serial.get(slot.serial)
+            if not slot.leaving or status is None:
                 continue
-            out_s = self.now - slot.leaving
-            idle = seen.idle and out_s >= rc.EMPTY_LEAVE_S
-            if idle or out_s >= self.d.leave_s or seen.state in (QUEUED, UNHEALTHY):
+            draining_s = self.now - slot.leaving
+            idle = status.idle and draining_s >= rc.IDLE_DRAIN_S
+            if idle or draining_s >= self.spec.leave_s or status.state in (QUEUED, UNHEALTHY):
                 ready.append(slot)
-        ready = ready[: rc.AT_ONCE]
+        ready = ready[: rc.MAX_BATCH_COPIES]
         if not ready:
             return None
         gone = {x.serial for x in ready}
-        self.s.slots = [x for x in self.s.slots if x.serial not in gone]
-        return Decision(self.s, f"stopped {named(ready)}", stop=ready, told=False)
+        self.service.slots = [x for x in self.service.slots if x.serial not in gone]
+        return Decision(self.service, f"stopped {slots_text(ready)}", stop=ready, in_history=False)
 
-    def _against(self) -> Decision | None:
-        """Evidence against the new version returns the roll-out; against both it holds."""
-        r = self.r
-        if r is None or r.phase == "returning":
+    def _check_failures(self) -> Decision | None:
+        """Rolls back when new copies are unhealthy, but holds when the old ones fail at half
+        the new ones' rate or more, as that suggests a common cause."""
+        rollout = self.rollout
+        if rollout is None or rollout.phase == "returning":
             return None
-        bad = [x for x in self.of(r.to) if x.state == UNHEALTHY]
+        bad = [x for x in self.of_version(rollout.to) if x.state == UNHEALTHY]
         if not bad:
             return None
-        old = self.others(r.to)
+        old = self.other_versions(rollout.to)
         old_bad = [x for x in old if x.state == UNHEALTHY]
-        share = len(bad) / max(1, len(self.of(r.to)))
+        share = len(bad) / max(1, len(self.of_version(rollout.to)))
         if old and len(old_bad) / len(old) >= 0.5 * share:
-            why = (
+            reason = (
                 f"both versions fail ({len(bad)} new and {len(old_bad)} old copies): something"
                 " that they share, so neither is judged by it"
             )
-            self.stands = True
-            return self._held(why, bad + old_bad)
-        return self._return(f"{len(bad)} copies of version {r.to} are unhealthy", bad)
+            self.on_hold = True
+            return self._set_hold(reason, bad + old_bad)
+        return self._roll_back(f"{len(bad)} copies of version {rollout.to} are unhealthy", bad)
 
-    def _passed_deadline(self) -> Decision | None:
-        r = self.r
-        if r is None or r.paused or r.phase != "advancing" or not self.d.deadline_s:
+    def _check_deadline(self) -> Decision | None:
+        """Rolls back or holds, as `late` says, after no progress within `deadline_s`."""
+        rollout = self.rollout
+        if (
+            rollout is None
+            or rollout.paused
+            or rollout.phase != "advancing"
+            or not self.spec.deadline_s
+        ):
             return None
-        for_s = self.now - r.since
-        if for_s <= self.d.deadline_s:
+        stalled_s = self.now - rollout.since
+        if stalled_s <= self.spec.deadline_s:
             return None
-        why = f"no step forward for {for_s:.0f} s" + (f": {r.hold}" if r.hold else "")
-        if self.d.late == "hold":
-            self.stands = True
-            return self._held("its deadline has passed without a step forward", [])
-        return self._return(why, [x for x in self.of(r.to) if x.state != HEALTHY])
+        reason = f"no step forward for {stalled_s:.0f} s" + (
+            f": {rollout.hold}" if rollout.hold else ""
+        )
+        if self.spec.late == "hold":
+            self.on_hold = True
+            return self._set_hold("its deadline has passed without a step forward", [])
+        return self._roll_back(
+            reason, [x for x in self.of_version(rollout.to) if x.state != HEALTHY]
+        )
 
-    def _return(self, why: str, against: list[Seen]) -> Decision:
-        assert self.r is not None
-        self.r.phase, self.r.hold, self.r.since = "returning", "", self.now
-        self.r.paused = False
-        back = f"version {self.s.good}" if self.s.good else "nothing, as no version was good yet"
-        return Decision(self.s, f"returns to {back}", why, [line_of(x) for x in against])
+    def _roll_back(self, reason: str, against: list[CopyStatus]) -> Decision:
+        assert self.rollout is not None
+        self.rollout.phase, self.rollout.hold, self.rollout.since = "returning", "", self.now
+        self.rollout.paused = False
+        back = (
+            f"version {self.service.good}"
+            if self.service.good
+            else "nothing, as no version was good yet"
+        )
+        return Decision(
+            self.service, f"returns to {back}", reason, [evidence_line(x) for x in against]
+        )
 
     def _refill(self) -> Decision | None:
-        """Copies that are lost or ended are replaced before anything advances."""
-        if self.s.removed:
+        """Replaces lost and ended copies before the roll-out advances."""
+        if self.service.removed:
             return None
-        short = self.d.copies - len(self.present)
+        short = self.spec.copies - len(self.present)
         if short <= 0:
             return None
-        version = self.main
-        if self.r and self.r.phase in ("advancing", "baking") and self.s.good:
-            old_short = (self.d.copies - self.want()) - len(self.others(self.r.to))
+        version = self.target
+        if self.rollout and self.rollout.phase in ("advancing", "baking") and self.service.good:
+            old_short = (self.spec.copies - self.target_copies()) - len(
+                self.other_versions(self.rollout.to)
+            )
             if old_short > 0:
-                version, short = self.s.good, min(short, old_short)
+                version, short = self.service.good, min(short, old_short)
         if not version:
             return None
-        missing = [f"copy {x.slot.serial} in {x.slot.zone or '?'}: {x.why}" for x in self.lost]
-        return self._start(version, short, "refills" if self.s.good else "starts", missing)
+        missing = [f"copy {x.slot.serial} in {x.slot.zone or '?'}: {x.reason}" for x in self.lost]
+        return self._start(version, short, "refills" if self.service.good else "starts", missing)
 
     def _move_queued(self) -> Decision | None:
-        """A copy that waits for room in its zone is placed in another, if there is one."""
+        """Takes out copies that wait in vain for room in their zone, if another zone is open; the
+        next refill starts replacements there."""
         stuck = [x for x in self.present if x.slot.zone and self.is_stuck(x)]
-        if not stuck or len(self.zones_open(self.d)) == 0:
+        if not stuck or len(self.open_zones(self.spec)) == 0:
             return None
-        moved = stuck[: rc.AT_ONCE]
+        moved = stuck[: rc.MAX_BATCH_COPIES]
         full = {x.slot.zone for x in moved}
-        if not set(self.zones_open(self.d)) - full:
+        if not set(self.open_zones(self.spec)) - full:
             return None
         for x in moved:
             self.slot_of(x).leaving = self.now
         self.present = [x for x in self.present if x not in moved]
-        lines = [line_of(x) for x in moved]
-        return Decision(self.s, f"places {len(moved)} copies in other zones", "no room", lines)
+        lines = [evidence_line(x) for x in moved]
+        return Decision(
+            self.service, f"places {len(moved)} copies in other zones", "no room", lines
+        )
 
-    def _change(self) -> Decision | None:
-        """One batch towards what the step asks for: start what is missing, stop what is over."""
-        want = self.want()
-        mine = self.of(self.main) if self.main else []
-        if len(mine) < want:
-            room = self.d.copies + self.d.surge - len(self.present)
+    def _change_copies(self) -> Decision | None:
+        """One batch towards the step's target: starts missing copies or takes out excess ones."""
+        wanted = self.target_copies()
+        current = self.of_version(self.target) if self.target else []
+        if len(current) < wanted:
+            room = self.spec.copies + self.spec.surge - len(self.present)
             if room > 0:
-                return self._start(self.main, min(want - len(mine), room), "starts", [])
-        rest = self.others(self.main)
-        if self.r and self.r.phase == "returning":
-            # What does not serve is no use while it goes back, and stands in the way.
+                return self._start(self.target, min(wanted - len(current), room), "starts", [])
+        rest = self.other_versions(self.target)
+        if self.rollout and self.rollout.phase == "returning":
+            # During a roll-back, copies of the failed version that do not serve only take up room.
             useless = [x for x in rest if x.state != HEALTHY]
             if useless:
-                return self._stop(useless, len(useless))
-        over = len(self.present) - (self.d.copies if want else 0)
-        if rest and len(mine) < want and over <= 0 and self.d.surge == 0:
-            over = 1  # without a surge an old copy goes before a new one comes
-        if over > 0 and (rest or mine):
-            return self._stop(rest or mine, over)
-        if self.r is None or self.r.phase == "returning":
-            return self._replace(mine) or self._stop_unseen(mine, want)
-        return self._stop_unseen(mine, want)
+                return self._take_out(useless, len(useless))
+        excess = len(self.present) - (self.spec.copies if wanted else 0)
+        if rest and len(current) < wanted and excess <= 0 and self.spec.surge == 0:
+            excess = 1  # without a surge an old copy must go before a new one can start
+        if excess > 0 and (rest or current):
+            return self._take_out(rest or current, excess)
+        if self.rollout is None or self.rollout.phase == "returning":
+            return self._replace_unhealthy(current) or self._take_out_lost(current, wanted)
+        return self._take_out_lost(current, wanted)
 
-    def _replace(self, mine: list[Seen]) -> Decision | None:
-        """A copy that stays unhealthy is replaced, one at a time, while most are well: where half
-        of them fail, new ones would too."""
-        sick = [x for x in mine if x.state == UNHEALTHY and x.for_s > rc.REPLACE_S]
+    def _replace_unhealthy(self, current: list[CopyStatus]) -> Decision | None:
+        """Replaces copies that stay unhealthy, one at a time; none if at least half of all copies
+        are unhealthy, as new ones would fail too."""
+        failed = [x for x in current if x.state == UNHEALTHY and x.in_state_s > rc.REPLACE_AFTER_S]
         coming = any(x.state in (QUEUED, STARTING) for x in self.present)
         unhealthy = sum(x.state == UNHEALTHY for x in self.present)
-        if not sick or coming or 2 * unhealthy >= len(self.present):
+        if not failed or coming or 2 * unhealthy >= len(self.present):
             return None
-        if self.d.surge:
-            return self._start(self.main, 1, "replaces", [line_of(sick[0])])
-        return self._stop(sick, 1)
+        if self.spec.surge:
+            return self._start(self.target, 1, "replaces", [evidence_line(failed[0])])
+        return self._take_out(failed, 1)
 
-    def _stop_unseen(self, mine: list[Seen], want: int) -> Decision | None:
-        """Copies of another version that are out of sight go when nothing else is to be done."""
-        unseen = [x for x in self.lost if x.slot.version != self.main]
-        if unseen and len(mine) == want and want in (0, self.d.copies):
-            return self._stop(unseen, len(unseen))
+    def _take_out_lost(self, current: list[CopyStatus], wanted: int) -> Decision | None:
+        """Takes out lost copies of other versions once the target version is complete."""
+        lost = [x for x in self.lost if x.slot.version != self.target]
+        if lost and len(current) == wanted and wanted in (0, self.spec.copies):
+            return self._take_out(lost, len(lost))
         return None
 
     def _start(self, version: int, count: int, verb: str, lines: list[str]) -> Decision | None:
-        d = self.descriptions.get(version)
-        if d is None:
+        description = self.descriptions.get(version)
+        if description is None:
             return None
-        # Unseen copies may be there all the same; the limit counts them, the refill does not.
-        most = rc.MOST_COPIES + rc.MOST_SURGE - len(self.s.slots)
+        # Lost copies may still run, so this limit counts them, although the refill does not.
+        room = rc.MAX_COPIES + rc.MAX_SURGE - len(self.service.slots)
         slots = []
-        for _ in range(min(count, rc.AT_ONCE, most)):
-            self.s.serial += 1
-            slot = Slot(self.s.serial, version, self.next_zone(d), self.now)
-            self.s.slots.append(slot)
-            self.present.append(Seen(slot, QUEUED))
+        for _ in range(min(count, rc.MAX_BATCH_COPIES, room)):
+            self.service.serial += 1
+            slot = Slot(self.service.serial, version, self.next_zone(description), self.now)
+            self.service.slots.append(slot)
+            self.present.append(CopyStatus(slot, QUEUED))
             slots.append(slot)
         if not slots:
             return None
-        if self.r:
-            self.r.hold = ""
-        what = f"{verb} {len(slots)} of version {version}"
-        return Decision(self.s, what, "", lines, start=slots, told=bool(lines) or verb != "refills")
+        if self.rollout:
+            self.rollout.hold = ""
+        action = f"{verb} {len(slots)} of version {version}"
+        return Decision(
+            self.service,
+            action,
+            "",
+            lines,
+            start=slots,
+            in_history=bool(lines) or verb != "refills",
+        )
 
-    def _stop(self, candidates: list[Seen], count: int) -> Decision | None:
+    def _take_out(self, candidates: list[CopyStatus], count: int) -> Decision | None:
         """Takes copies out of the endpoints, as many as the floor allows."""
-        going = self._removable(candidates, min(count, rc.AT_ONCE))
+        going = self._removable(candidates, min(count, rc.MAX_BATCH_COPIES))
         if not going:
             return None
-        if self.r and self.r.phase == "advancing":
-            self.r.since = self.now  # new copies proved healthy: a step forward
-        if self.r:
-            self.r.hold = ""
+        if self.rollout and self.rollout.phase == "advancing":
+            self.rollout.since = self.now  # new copies are healthy: counts as progress
+        if self.rollout:
+            self.rollout.hold = ""
         for x in going:
             self.slot_of(x).leaving = self.now
         slots = [x.slot for x in going]
-        return Decision(self.s, f"takes out {named(slots)}", f"{self.healthy} are healthy")
+        return Decision(
+            self.service, f"takes out {slots_text(slots)}", f"{self.healthy} are healthy"
+        )
 
-    def _removable(self, candidates: list[Seen], count: int) -> list[Seen]:
-        """Those that serve least first, then those where most copies are; never under the floor.
+    def _removable(self, candidates: list[CopyStatus], count: int) -> list[CopyStatus]:
+        """Up to `count` candidates whose removal keeps the floor: the least useful states first,
+        then the zones with the most copies.
 
-        A copy that is unknown may be healthy: it is taken for healthy when it goes, and for
-        nothing when others go.
+        A copy in unknown state may be healthy, so its removal counts as that of a healthy copy,
+        but it does not count towards the floor when others are removed.
         """
-        crowd = Counter(x.slot.zone for x in self.present)
+        copies_in = Counter(x.slot.zone for x in self.present)
         order = sorted(
-            candidates, key=lambda x: (RANK[x.state], -crowd[x.slot.zone], x.slot.serial)
+            candidates,
+            key=lambda x: (REMOVAL_RANK[x.state], -copies_in[x.slot.zone], x.slot.serial),
         )
-        going: list[Seen] = []
+        going: list[CopyStatus] = []
         left = self.healthy
-        least = self.least()
-        if self.d.surge and least and any(x.state != HEALTHY for x in self.of(self.main)):
-            # Those that come may still fail: until they are healthy none that serves goes for
-            # them, though the floor would allow it.
-            least = max(least, self.d.copies)
+        floor = self.min_healthy()
+        if (
+            self.spec.surge
+            and floor
+            and any(x.state != HEALTHY for x in self.of_version(self.target))
+        ):
+            # Copies of the target version may still fail. Until all of them are healthy, no
+            # healthy copy is removed in their favour, even if the floor would allow it.
+            floor = max(floor, self.spec.copies)
         for x in order:
             if len(going) == count:
                 break
-            if left < least and x.slot.version == self.s.good and x.state != UNHEALTHY:
-                # Under the floor already, for what happened outside: whatever of the good
-                # version is on its way is needed. (After all nodes had been lost, copies that
-                # started again were taken out one by one, with none healthy.)
+            if left < floor and x.slot.version == self.service.good and x.state != UNHEALTHY:
+                # Already under the floor because of an external failure: every copy of the good
+                # version that may become healthy is needed. Without this rule, copies that
+                # restarted after a loss of all nodes were taken out one by one with none healthy.
                 continue
             counts = x.state in (HEALTHY, UNKNOWN)
-            if counts and left - 1 < least:
+            if counts and left - 1 < floor:
                 continue
             left -= counts
             going.append(x)
         return going
 
-    def _forward(self) -> Decision | None:
-        """From step to step, once all copies are there and have been healthy for long enough."""
-        r = self.r
-        if r is None or r.paused:
+    def _advance(self) -> Decision | None:
+        """Moves to the next phase or step once all copies have been healthy for long enough."""
+        rollout = self.rollout
+        if rollout is None or rollout.paused:
             return None
-        if r.phase == "returning":
-            return self._returned()
-        mine = self.of(r.to)
+        if rollout.phase == "returning":
+            return self._finish_rollback()
+        new = self.of_version(rollout.to)
         complete = (
-            not self.is_short()
-            and all(x.state == HEALTHY for x in mine)
-            and not any(x.leaving for x in self.s.slots)
+            not self.is_incomplete()
+            and all(x.state == HEALTHY for x in new)
+            and not any(x.leaving for x in self.service.slots)
         )
-        if r.phase == "advancing":
+        if rollout.phase == "advancing":
             if not complete:
                 return None
-            r.phase, r.since, r.hold = "baking", self.now, ""
-            return Decision(self.s, f"bakes step {r.step + 1}", f"{len(mine)} new are healthy")
+            rollout.phase, rollout.since, rollout.hold = "baking", self.now, ""
+            return Decision(
+                self.service, f"bakes step {rollout.step + 1}", f"{len(new)} new are healthy"
+            )
         if not complete:
-            if not any(x.state in (QUEUED, UNHEALTHY) for x in mine) and not self.is_short():
-                return None  # merely not seen for a moment: `steady_s` begins again by itself
-            r.phase, r.since = "advancing", self.now
-            lines = [line_of(x) for x in mine if x.state != HEALTHY]
-            return Decision(self.s, "goes back to the step", "not all copies are healthy", lines)
-        healthy_s = min(self.now - r.since, self.world.steady_s)
-        if r.phase == "baking":
-            return self._baked() if healthy_s >= self.d.bake_s else None
-        if healthy_s < self.d.watch_s:
+            if not any(x.state in (QUEUED, UNHEALTHY) for x in new) and not self.is_incomplete():
+                return None  # a short gap in the evidence, which restarts `all_healthy_s` anyway
+            rollout.phase, rollout.since = "advancing", self.now
+            lines = [evidence_line(x) for x in new if x.state != HEALTHY]
+            return Decision(
+                self.service, "goes back to the step", "not all copies are healthy", lines
+            )
+        healthy_s = min(self.now - rollout.since, self.observation.all_healthy_s)
+        if rollout.phase == "baking":
+            return self._finish_bake() if healthy_s >= self.spec.bake_s else None
+        if healthy_s < self.spec.watch_s:
             return None
-        self.s.good, self.s.rollout = r.to, None
-        return Decision(self.s, f"done: version {r.to} is good", "healthy to the end")
+        self.service.good, self.service.rollout = rollout.to, None
+        return Decision(self.service, f"done: version {rollout.to} is good", "healthy to the end")
 
-    def _baked(self) -> Decision:
-        """The step's copies have been healthy for long enough."""
-        r = self.r
-        assert r is not None
-        if self.s.good and r.step + 1 < len(self.d.wanted):
-            r.phase, r.step, r.since = "advancing", r.step + 1, self.now
-            want = self.d.wanted[r.step]
-            return Decision(self.s, f"step {r.step + 1}: {want} new copies", "baked")
-        r.phase, r.since = "watching", self.now
-        return Decision(self.s, "watches", f"all copies are of version {r.to}")
+    def _finish_bake(self) -> Decision:
+        """Goes on to the next step, or to watching after the last one."""
+        rollout = self.rollout
+        assert rollout is not None
+        if self.service.good and rollout.step + 1 < len(self.spec.step_targets):
+            rollout.phase, rollout.step, rollout.since = "advancing", rollout.step + 1, self.now
+            wanted = self.spec.step_targets[rollout.step]
+            return Decision(self.service, f"step {rollout.step + 1}: {wanted} new copies", "baked")
+        rollout.phase, rollout.since = "watching", self.now
+        return Decision(self.service, "watches", f"all copies are of version {rollout.to}")
 
-    def _returned(self) -> Decision | None:
-        good = self.of(self.s.good) if self.s.good else []
-        rest = self.others(self.s.good)
-        if rest or any(x.leaving for x in self.s.slots) or len(good) < self.copies_back():
+    def _finish_rollback(self) -> Decision | None:
+        """Ends the roll-back once only healthy copies of the good version are left."""
+        good = self.of_version(self.service.good) if self.service.good else []
+        rest = self.other_versions(self.service.good)
+        if (
+            rest
+            or any(x.leaving for x in self.service.slots)
+            or len(good) < self.copies_after_rollback()
+        ):
             return None
         if any(x.state != HEALTHY for x in good):
             return None
-        self.s.rollout = None
-        to = f"version {self.s.good} serves" if self.s.good else "no version serves"
-        return Decision(self.s, f"returned: {to}", f"{len(good)} healthy copies")
+        self.service.rollout = None
+        to = f"version {self.service.good} serves" if self.service.good else "no version serves"
+        return Decision(self.service, f"returned: {to}", f"{len(good)} healthy copies")
 
     # --- holding ----------------------------------------------------------------------------
-    def _hold(self) -> Decision | None:
-        """Says why it does not go on, when that has changed."""
-        r = self.r
-        if r is None or r.phase in ("baking", "watching"):
+    def _report_hold(self) -> Decision | None:
+        """Records why the roll-out does not proceed, when the reason has changed."""
+        rollout = self.rollout
+        if rollout is None or rollout.phase in ("baking", "watching"):
             return None
-        version = r.to if r.phase == "advancing" else self.s.good
-        not_yet = [x for x in self.of(version) if x.state != HEALTHY]
-        why = ""
-        if r.paused:
-            why = "paused by an operator"
-        elif not_yet:
-            first = not_yet[0]
-            why = f"{len(not_yet)} copies of version {version} are not healthy yet"
+        version = rollout.to if rollout.phase == "advancing" else self.service.good
+        not_healthy = [x for x in self.of_version(version) if x.state != HEALTHY]
+        reason = ""
+        if rollout.paused:
+            reason = "paused by an operator"
+        elif not_healthy:
+            first = not_healthy[0]
+            reason = f"{len(not_healthy)} copies of version {version} are not healthy yet"
             if first.state in (QUEUED, UNHEALTHY):
-                why += f", the first is {first.state}: {first.why}"
-        elif self.healthy < self.least():
-            why = f"{self.healthy} copies are healthy, of a floor of {self.least()}"
-        return self._held(why, [])
+                reason += f", the first is {first.state}: {first.reason}"
+        elif self.healthy < self.min_healthy():
+            reason = f"{self.healthy} copies are healthy, of a floor of {self.min_healthy()}"
+        return self._set_hold(reason, [])
 
-    def _held(self, why: str, evidence: list[Seen]) -> Decision | None:
-        r = self.r
-        assert r is not None
-        if r.hold == why[: 2 * rc.EVIDENCE_CHARS]:
+    def _set_hold(self, reason: str, evidence: list[CopyStatus]) -> Decision | None:
+        rollout = self.rollout
+        assert rollout is not None
+        if rollout.hold == reason[: 2 * rc.MAX_EVIDENCE_CHARS]:
             return None
-        r.hold = why[: 2 * rc.EVIDENCE_CHARS]
-        lines = [line_of(x) for x in evidence]
-        return Decision(self.s, "holds", why, lines, told=bool(evidence))
+        rollout.hold = reason[: 2 * rc.MAX_EVIDENCE_CHARS]
+        lines = [evidence_line(x) for x in evidence]
+        return Decision(self.service, "holds", reason, lines, in_history=bool(evidence))
--- a/pulleydeal/rollouts/interface.py
+++ b/pulleydeal/rollouts/interface.py
@@ -1,4 +1,4 @@
-"""What operators, copies and consumers ask of roll-outs."""
+"""HTTP interfaces of roll-outs: for operators, for copies, and for consumers of endpoints."""
 
 import asyncio
 import logging
@@ -13,8 +13,8 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts import registry
 from pulleydeal.rollouts import state as st
-from pulleydeal.rollouts.description import Description, DescriptionError, fits, parse
-from pulleydeal.rollouts.seen import Decision, begin, copy_of
+from pulleydeal.rollouts.description import Description, DescriptionError, deployment_faults, parse
+from pulleydeal.rollouts.seen import Decision, begin_rollout, clone_service
 from pulleydeal.store.client import Unavailable, Unknown
 from pulleydeal.store.limits import TooLarge
 
@@ -22,60 +22,73 @@
     from pulleydeal.rollouts.service import Rollouts
 
 log = logging.getLogger("pulleydeal.rollouts")
-OLD_S = 10.0  # a replica older than this answers no consumer: another node knows better
+MAX_REPLICA_AGE_S = 10.0  # with an older replica, consumers get 503 and can ask another node
 
 
 class Interface:
+    """Handlers of the routes and paths that roll-outs serve."""
+
     def __init__(self, rollouts: "Rollouts") -> None:
-        self._all = rollouts
-        self._changed: dict[str, asyncio.Event] = {}
-        self._held = 0
+        self._rollouts = rollouts
+        self._change_events: dict[str, asyncio.Event] = {}
+        self._held_polls = 0
         rollouts.replica.listen(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         prefix = "rollouts/e/"
         if kind == "feature" and name.startswith(prefix):
-            event = self._changed.pop(name.removeprefix(prefix), None)
+            event = self._change_events.pop(name.removeprefix(prefix), None)
             if event is not None:
                 event.set()
 
     def routes(self) -> list[Route]:
-        one = "/v1/services/{service}"
+        path = "/v1/services/{service}"
         return [
             Route("POST", "/v1/rollouts/check", "checks a description (TOML)", self._check),
             Route("POST", "/v1/rollouts", "starts a roll-out of a description", self._start),
             Route("GET", "/v1/services", "named services", self._list, ("after", "limit")),
-            Route("GET", one, "a service: versions, copies, roll-out", self._show),
+            Route("GET", path, "a service: versions, copies, roll-out", self._show),
+            Route(
+                "GET",
+                f"{path}/history",
+                "what was done and why",
+                self._history,
+                ("after", "limit"),
+            ),
+            Route("GET", f"{path}/endpoints", "its ready copies", self._show_endpoints),
             Route(
-                "GET", f"{one}/history", "what was done and why", self._history, ("after", "limit")
+                "GET",
+                f"{path}/version/{{version}}",
+                "a version's description",
+                self._show_version,
             ),
-            Route("GET", f"{one}/endpoints", "its ready copies", self._ready),
-            Route("GET", f"{one}/version/{{version}}", "a version's description", self._version),
-            Route("POST", f"{one}/pause", "holds a roll-out", self._pause),
-            Route("POST", f"{one}/resume", "lets it go on", self._resume),
-            Route("POST", f"{one}/abort", "returns to the last good version", self._abort),
-            Route("POST", f"{one}/remove", "ends the service and its copies", self._remove),
+            Route("POST", f"{path}/pause", "holds a roll-out", self._pause),
+            Route("POST", f"{path}/resume", "lets it go on", self._resume),
+            Route("POST", f"{path}/abort", "returns to the last good version", self._abort),
+            Route("POST", f"{path}/remove", "ends the service and its copies", self._remove),
         ]
 
     def paths(self) -> dict[str, Handler]:
-        return {"copies": self.register, "services": self.consume}
+        return {"copies": self.register, "services": self.poll_endpoints}
 
     # --- operators ----------------------------------------------------------------------------
-    def _ready_to_write(self) -> None:
-        if not self._all.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_S)
-        if not self._all.records.ready:
-            without = [
+    def _require_writable(self) -> None:
+        """Raises Problem 503 unless the state is loaded and every node has the feature on."""
+        if not self._rollouts.replica.loaded:
+            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
+        if not self._rollouts.records.ready:
+            missing = [
                 node
-                for node in self._all.node.membership.nodes()
-                if not self._all.replica.shown.get(node, {}).get("rollouts")
+                for node in self._rollouts.node.membership.nodes()
+                if not self._rollouts.replica.shown.get(node, {}).get("rollouts")
             ]
-            why = f" ({', '.join(without)} has not)" if without else ""
+            why = f" ({', '.join(missing)} has not)" if missing else ""
             text = f"not every node has shown that it has roll-outs on{why}"
-            raise Problem(503, "not_everywhere", text, rc.RETRY_S)
+            raise Problem(503, "not_everywhere", text, rc.RETRY_AFTER_S)
 
-    def _described(self, asked: Asked) -> Description:
-        node = self._all.node
+    def _parse_description(self, asked: Asked) -> Description:
+        """Parses the body and checks it against this deployment; raises Problem for any fault."""
+        node = self._rollouts.node
         try:
             found = parse(asked.body.decode())
         except UnicodeDecodeError as error:
@@ -83,9 +96,9 @@
         except DescriptionError as error:
             raise Problem(400, "bad_description", "\n".join(error.faults)) from error
         if not node.replica.types:
-            raise Problem(503, "not_ready", "the machine types are not known yet", rc.RETRY_S)
-        faults = fits(found, node.teams, node.replica.types, node.zones)
-        size = self._largest(found)
+            raise Problem(503, "not_ready", "the machine types are not known yet", rc.RETRY_AFTER_S)
+        faults = deployment_faults(found, node.teams, node.replica.types, node.zones)
+        size = self._max_record_size_b(found)
         most = node.store.limits.value_b
         if size > most:
             faults.append(f"copies: the records would take {size} B, of {most} B at most")
@@ -93,13 +106,13 @@
             raise Problem(422, "never_runs", "\n".join(faults))
         return found
 
-    def _largest(self, d: Description) -> int:
-        """The most that a value of this service will ever take."""
-        zone = max([*self._all.node.zones, ""], key=len)
+    def _max_record_size_b(self, d: Description) -> int:
+        """Largest encoded size that a service, endpoints or version record of `d` can reach."""
+        zone = max([*self._rollouts.node.zones, ""], key=len)
         slot = st.Slot(10**6, 10**4, zone, 1e10 + 0.1, 1e10 + 0.1)
         slots = [slot] * (d.copies + d.surge)
         rollout = st.Rollout(10**5, 10**4, "returning", 9, 1e10 + 0.1, 1e10 + 0.1, True)
-        rollout.hold = "x" * 2 * rc.EVIDENCE_CHARS
+        rollout.hold = "x" * 2 * rc.MAX_EVIDENCE_CHARS
         service = st.Service(10**4, slots, 10**6, 10**4, 10**5, 10**7, rollout, True)
         endpoint = st.Endpoint("255.255.255.255:65535", st.job_id(d.name, 1), 10**4, zone)
         ready = st.Endpoints([endpoint] * (d.copies + d.surge))
@@ -107,41 +120,45 @@
         return max(len(msgspec.json.encode(value)) for value in values)
 
     async def _check(self, asked: Asked) -> Any:
-        d = self._described(asked)
-        steps = ", ".join(str(n) for n in d.wanted)
-        says = f"{d.copies} copies in steps of {steps}; never under {d.least} healthy"
-        return {"service": d.name, "steps": d.wanted, "floor": d.least, "says": says}
+        d = self._parse_description(asked)
+        steps = ", ".join(str(n) for n in d.step_targets)
+        summary = f"{d.copies} copies in steps of {steps}; never under {d.min_healthy} healthy"
+        return {"service": d.name, "steps": d.step_targets, "floor": d.min_healthy, "says": summary}
 
     async def _start(self, asked: Asked) -> Any:
-        self._ready_to_write()
-        d = self._described(asked)
-        key = st.service_name(d.name)
-        service = self._all.service(d.name) or st.Service()
+        self._require_writable()
+        d = self._parse_description(asked)
+        key = st.service_record_name(d.name)
+        service = self._rollouts.service(d.name) or st.Service()
         if service.rollout is not None:
             to = service.rollout.to
             text = f"roll-out {service.rollout.number} to version {to} is under way: abort it first"
             raise Problem(409, "under_way", text)
-        good = self._all.version(d.name, service.good)
+        good = self._rollouts.version(d.name, service.good)
         if good is not None and good.description == d and not service.removed:
             return {"service": d.name, "version": service.good, "says": "serves already"}
-        self._fits_old(d, service, good)
+        self._check_team(d, service, good)
         number = service.versions + 1
-        wall = self._all.clock.wall()
-        decision = begin(service, number, wall)
+        wall = self._rollouts.clock.wall()
+        decision = begin_rollout(service, number, wall)
         decision.service.versions = number
-        puts: dict[str, object] = {st.version_name(d.name, number): st.Version(d, wall)}
-        drops = self._all.tell(d.name, decision.service, decision, wall, puts)
+        puts: dict[str, object] = {st.version_record_name(d.name, number): st.Version(d, wall)}
+        drops = self._rollouts.add_history_entry(d.name, decision.service, decision, wall, puts)
         puts[key] = decision.service
         used = {x.version for x in service.slots} | {service.good}
         for old in range(max(1, number - 3 * rc.KEPT_VERSIONS), number - rc.KEPT_VERSIONS + 1):
-            name = st.version_name(d.name, old)
-            if old not in used and self._all.records.mark(name) and len(drops) < rc.AT_ONCE:
+            name = st.version_record_name(d.name, old)
+            if (
+                old not in used
+                and self._rollouts.records.mark(name)
+                and len(drops) < rc.MAX_BATCH_COPIES
+            ):
                 drops.append(name)
-        await self._commit({key: self._all.records.mark(key)}, puts, drops)
+        await self._commit({key: self._rollouts.records.mark(key)}, puts, drops)
         return {"service": d.name, "version": number, "rollout": decision.service.rollouts}
 
-    def _fits_old(self, d: Description, service: st.Service, good: st.Version | None) -> None:
-        """Where the way back would be shut by the new description, it is said beforehand."""
+    def _check_team(self, d: Description, service: st.Service, good: st.Version | None) -> None:
+        """Rejects a change of team: a roll-back might then exceed the limit of the other team."""
         if good is not None and good.description.team != d.team:
             raise Problem(
                 422,
@@ -151,34 +168,34 @@
             )
 
     async def _commit(
-        self, marks: dict[str, int], puts: dict[str, object], drops: list[str]
+        self, read_versions: dict[str, int], puts: dict[str, object], drops: list[str]
     ) -> None:
         try:
-            if await self._all.records.commit(marks, puts, drops):
+            if await self._rollouts.records.commit(read_versions, puts, drops):
                 return
         except TooLarge as error:
             raise Problem(422, "too_large", str(error)) from error
         except (Unavailable, Unknown, TimeoutError) as error:
             text = "the state service can't be asked"
-            raise Problem(503, "unavailable", text, rc.RETRY_S) from error
+            raise Problem(503, "unavailable", text, rc.RETRY_AFTER_S) from error
         raise Problem(409, "moved", "it changed meanwhile: look, and ask again")
 
-    def _known(self, asked: Asked) -> tuple[str, st.Service]:
+    def _find_service(self, asked: Asked) -> tuple[str, st.Service]:
         name = asked.params["service"]
-        if not self._all.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_S)
-        service = self._all.service(name)
+        if not self._rollouts.replica.loaded:
+            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
+        service = self._rollouts.service(name)
         if service is None:
             raise Problem(404, "no_such_service", f"no service {name!r}")
         return name, service
 
     async def _list(self, asked: Asked) -> Any:
-        return page(asked, self._all.names(), self._summary)
+        return page(asked, self._rollouts.names(), self._summary)
 
     def _summary(self, name: str) -> dict[str, Any]:
-        service = self._all.service(name)
+        service = self._rollouts.service(name)
         assert service is not None
-        ready = len(self._all.endpoints(name).ready)
+        ready = len(self._rollouts.endpoints(name).ready)
         state: str = service.rollout.phase if service.rollout else "serving"
         if service.removed:
             state = "removed" if not service.slots else "ending"
@@ -191,25 +208,29 @@
         }
 
     async def _show(self, asked: Asked) -> Any:
-        name, service = self._known(asked)
-        found = self._summary(name) | {"leader": self._leader(name)}
-        watch = self._all.watches.get(name)
-        descriptions = self._all.descriptions(name, service)
+        name, service = self._find_service(asked)
+        found = self._summary(name) | {"leader": self._leader_of(name)}
+        monitor = self._rollouts.monitors.get(name)
+        descriptions = self._rollouts.descriptions(name, service)
         current = service.rollout.to if service.rollout else service.good
         if service.rollout is not None:
             d = descriptions.get(service.rollout.to)
             found["rollout"] = msgspec.to_builtins(service.rollout) | {
-                "wanted": d.wanted if d else []
+                "wanted": d.step_targets if d else []
             }
-        found["copies"] = [self._copy(name, x) for x in service.slots]
-        if watch is not None and current in descriptions:
-            world = self._all.see(name, service, watch, descriptions[current])
-            for shown, seen in zip(found["copies"], world.copies, strict=True):
-                shown |= {"state": seen.state, "why": seen.why, "for_s": round(seen.for_s, 1)}
+        found["copies"] = [self._copy_row(name, x) for x in service.slots]
+        if monitor is not None and current in descriptions:
+            observation = self._rollouts.observe(name, service, monitor, descriptions[current])
+            for shown, status in zip(found["copies"], observation.copies, strict=True):
+                shown |= {
+                    "state": status.state,
+                    "why": status.reason,
+                    "for_s": round(status.in_state_s, 1),
+                }
         return found
 
     @staticmethod
-    def _copy(name: str, slot: st.Slot) -> dict[str, Any]:
+    def _copy_row(name: str, slot: st.Slot) -> dict[str, Any]:
         return {
             "copy": slot.serial,
             "version": slot.version,
@@ -218,49 +239,49 @@
             "job": st.job_id(name, slot.serial),
         }
 
-    def _leader(self, name: str) -> str:
-        return self._all.records.leader(name)
+    def _leader_of(self, name: str) -> str:
+        return self._rollouts.records.leader(name)
 
     async def _history(self, asked: Asked) -> Any:
-        name, _ = self._known(asked)
-        prefix = st.entry_name(name, 0)[:-8]
-        names = [x.removeprefix(prefix) for x in self._all.records.names(prefix)]
+        name, _ = self._find_service(asked)
+        prefix = st.entry_record_name(name, 0)[:-8]
+        names = [x.removeprefix(prefix) for x in self._rollouts.records.names(prefix)]
 
         def shown(number: str) -> Any:
-            entry = self._all.records.get(prefix + number, st.Entry)
+            entry = self._rollouts.records.get(prefix + number, st.Entry)
             return {"number": number} | msgspec.to_builtins(entry)
 
         return page(asked, names, shown)
 
-    async def _ready(self, asked: Asked) -> Any:
-        name, _ = self._known(asked)
+    async def _show_endpoints(self, asked: Asked) -> Any:
+        name, _ = self._find_service(asked)
         return self._endpoints(name)
 
     def _endpoints(self, name: str) -> dict[str, Any]:
-        ready = self._all.endpoints(name).ready
+        ready = self._rollouts.endpoints(name).ready
         return {
             "service": name,
-            "revision": self._all.records.mark(st.endpoints_name(name)),
+            "revision": self._rollouts.records.mark(st.endpoints_record_name(name)),
             "ready": [
                 {"address": e.address, "job": e.job, "version": e.version, "zone": e.zone}
                 for e in ready
             ],
         }
 
-    async def _version(self, asked: Asked) -> Any:
-        name, _ = self._known(asked)
+    async def _show_version(self, asked: Asked) -> Any:
+        name, _ = self._find_service(asked)
         number = asked.params["version"]
-        found = self._all.version(name, int(number)) if number.isdigit() else None
+        found = self._rollouts.version(name, int(number)) if number.isdigit() else None
         if found is None:
             raise Problem(404, "no_such_version", f"no version {number} of {name} is kept")
         return msgspec.to_builtins(found)
 
-    async def _change(self, asked: Asked, what: str) -> Any:
-        self._ready_to_write()
-        name, read = self._known(asked)
-        service = copy_of(read)
-        rollout, wall = service.rollout, self._all.clock.wall()
-        if what == "remove":
+    async def _apply_command(self, asked: Asked, command: str) -> Any:
+        self._require_writable()
+        name, base = self._find_service(asked)
+        service = clone_service(base)
+        rollout, wall = service.rollout, self._rollouts.clock.wall()
+        if command == "remove":
             if service.removed:
                 return self._summary(name)
             last = rollout.to if rollout else service.good
@@ -268,74 +289,79 @@
             service.rollout = st.Rollout(service.rollouts, last, "returning", 0, wall, wall)
         elif rollout is None:
             raise Problem(409, "no_rollout", f"no roll-out of {name} is under way")
-        elif what == "pause":
+        elif command == "pause":
             rollout.paused = True
-        elif what == "resume":
+        elif command == "resume":
             if rollout.paused:
                 rollout.since, rollout.hold = wall, ""
             rollout.paused = False
-        elif what == "abort" and rollout.phase != "returning":
+        elif command == "abort" and rollout.phase != "returning":
             rollout.phase, rollout.paused, rollout.hold = "returning", False, ""
             rollout.since = wall
-        if service == read:
-            return self._summary(name)  # it is so already
-        decision = Decision(service, f"{what}, asked by an operator")
-        if not await self._write(name, read, decision):
+        if service == base:
+            return self._summary(name)  # no change is needed
+        decision = Decision(service, f"{command}, asked by an operator")
+        if not await self._commit_decision(name, base, decision):
             raise Problem(409, "moved", "it changed meanwhile: look, and ask again")
         return self._summary(name)
 
-    async def _write(self, name: str, read: st.Service, decision: Decision) -> bool:
+    async def _commit_decision(self, name: str, base: st.Service, decision: Decision) -> bool:
         try:
-            return await self._all.carry_out(name, read, decision, None)
+            return await self._rollouts.commit_decision(name, base, decision, None)
         except (Unavailable, Unknown, TimeoutError) as error:
             text = "the state service can't be asked"
-            raise Problem(503, "unavailable", text, rc.RETRY_S) from error
+            raise Problem(503, "unavailable", text, rc.RETRY_AFTER_S) from error
 
     async def _pause(self, asked: Asked) -> Any:
-        return await self._change(asked, "pause")
+        return await self._apply_command(asked, "pause")
 
     async def _resume(self, asked: Asked) -> Any:
-        return await self._change(asked, "resume")
+        return await self._apply_command(asked, "resume")
 
     async def _abort(self, asked: Asked) -> Any:
-        return await self._change(asked, "abort")
+        return await self._apply_command(asked, "abort")
 
     async def _remove(self, asked: Asked) -> Any:
-        return await self._change(asked, "remove")
+        return await self._apply_command(asked, "remove")
 
     # --- copies and consumers -----------------------------------------------------------------
     async def register(self, request: Request) -> Response:
-        """POST /copies: a copy says where it listens; the leader alone takes it."""
+        """POST /copies: a copy registers or renews its address. Only the leader accepts it."""
         if request.method != "POST":
             return answer(405, {"error": "only POST"})
         try:
-            said = registry.REGISTRATION.decode(request.body)
+            registration = registry.REGISTRATION.decode(request.body)
         except MALFORMED as error:
             return answer(400, {"error": str(error)})
-        if not self._all.records.ready:
-            return answer(503, {"error": "not ready"}, rc.RETRY_S)
-        if not self._all.records.leads(said.service):
-            return answer(421, {"leader": self._leader(said.service)})
-        service = self._all.service(said.service)
-        watch = self._all.watches.get(said.service)
+        if not self._rollouts.records.ready:
+            return answer(503, {"error": "not ready"}, rc.RETRY_AFTER_S)
+        if not self._rollouts.records.leads(registration.service):
+            return answer(421, {"leader": self._leader_of(registration.service)})
+        service = self._rollouts.service(registration.service)
+        monitor = self._rollouts.monitors.get(registration.service)
         if service is None:
-            return answer(404, {"error": f"no service {said.service!r}"})
-        if watch is None:
-            return answer(503, {"error": "leads it since a moment ago"}, rc.RETRY_S)
-        slots = {st.job_id(said.service, x.serial): x for x in service.slots}
-        slot = slots.get(said.job)
-        job = self._all.replica.jobs.get(said.job)
+            return answer(404, {"error": f"no service {registration.service!r}"})
+        if monitor is None:
+            return answer(503, {"error": "leads it since a moment ago"}, rc.RETRY_AFTER_S)
+        slots = {st.job_id(registration.service, x.serial): x for x in service.slots}
+        slot = slots.get(registration.job)
+        job = self._rollouts.replica.jobs.get(registration.job)
         if slot is None or job is None:
-            return answer(404, {"error": f"{said.job} is no copy of {said.service}"})
+            return answer(
+                404, {"error": f"{registration.job} is no copy of {registration.service}"}
+            )
         task = job.task(0)
-        if not task.machine or task.attempt != said.attempt:
-            return answer(409, {"error": f"attempt {said.attempt} is not the present one"})
-        zone = self._all.replica.zone_of.get(task.machine, slot.zone)
-        watch.registry.take(said, zone, self._all.clock.now())
-        return answer(200, {"renew_s": rc.RENEW_S, "leave": bool(slot.leaving)})
-
-    async def consume(self, request: Request) -> Response:
-        """GET /services/NAME/endpoints[?after=REVISION&hold_ms=N]: the ready copies."""
+        if not task.machine or task.attempt != registration.attempt:
+            return answer(409, {"error": f"attempt {registration.attempt} is not the present one"})
+        zone = self._rollouts.replica.zone_of.get(task.machine, slot.zone)
+        monitor.registry.register(registration, zone, self._rollouts.clock.now())
+        return answer(200, {"renew_s": rc.REGISTRATION_RENEW_S, "leave": bool(slot.leaving)})
+
+    async def poll_endpoints(self, request: Request) -> Response:
+        """GET /services/NAME/endpoints[?after=REVISION&hold_ms=N]: the ready copies.
+
+        A long poll: waits up to `hold_ms` for a revision above `after`.
+        """
         url = urlsplit(request.path)
         parts = url.path.strip("/").split("/")
         if request.method != "GET" or len(parts) != 3 or parts[2] != "endpoints":
@@ -345,28 +371,28 @@
         raw_after, raw_hold = query.get("after", "-1"), query.get("hold_ms", "0")
         if not raw_hold.isdecimal() or not raw_after.removeprefix("-").isdecimal():
             return answer(400, {"error": "after and hold_ms are whole numbers"})
-        after, hold_s = int(raw_after), min(int(raw_hold), rc.HOLD_MS_MOST) / 1000
-        if not self._all.replica.loaded or self._age_s() > OLD_S:
-            return answer(503, {"error": "this node's copy is old"}, rc.RETRY_S)
-        if self._all.service(name) is None:
+        after, hold_s = int(raw_after), min(int(raw_hold), rc.MAX_HOLD_MS) / 1000
+        if not self._rollouts.replica.loaded or self._replica_age_s() > MAX_REPLICA_AGE_S:
+            return answer(503, {"error": "this node's copy is old"}, rc.RETRY_AFTER_S)
+        if self._rollouts.service(name) is None:
             return answer(404, {"error": f"no service {name!r}"})
-        until = self._all.clock.now() + hold_s
+        until = self._rollouts.clock.now() + hold_s
         while self._endpoints(name)["revision"] <= after:
-            left = until - self._all.clock.now()
+            left = until - self._rollouts.clock.now()
             if left <= 0:
                 break
-            if self._held >= rc.HELD_POLLS:
-                return answer(503, {"error": "too many polls are held"}, rc.RETRY_S)
-            event = self._changed.setdefault(name, asyncio.Event())
-            self._held += 1
+            if self._held_polls >= rc.MAX_HELD_POLLS:
+                return answer(503, {"error": "too many polls are held"}, rc.RETRY_AFTER_S)
+            event = self._change_events.setdefault(name, asyncio.Event())
+            self._held_polls += 1
             try:
                 async with asyncio.timeout(left):
                     await event.wait()
             except TimeoutError:
                 break
             finally:
-                self._held -= 1
+                self._held_polls -= 1
         return answer(200, self._endpoints(name))
 
-    def _age_s(self) -> float:
-        return self._all.clock.now() - self._all.node.store.current_at
+    def _replica_age_s(self) -> float:
+        return self._rollouts.clock.now() - self._rollouts.node.store.current_at
--- a/pulleydeal/rollouts/look.py
+++ b/pulleydeal/rollouts/look.py
@@ -1,91 +1,111 @@
-"""What one look at a service shows: its copies, what its step asks for, its floor, open zones."""
+"""Read-only view of a service for one decision: its copies, step target, floor and open zones."""
 
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, UNKNOWN
 from pulleydeal.rollouts.description import Description
-from pulleydeal.rollouts.seen import Seen, World, copy_of, emptiest
+from pulleydeal.rollouts.seen import CopyStatus, Observation, clone_service, least_used_zone
 from pulleydeal.rollouts.state import Service, Slot
 
 
-class Look:
-    """One look at a service; holds what its questions share."""
+class ServiceView:
+    """A service's record and its observed copies, with the queries that decisions share."""
 
     def __init__(
-        self, service: Service, descriptions: dict[int, Description], world: World
+        self, service: Service, descriptions: dict[int, Description], observation: Observation
     ) -> None:
-        self.s = copy_of(service)
-        self.r = self.s.rollout
-        self.world = world
-        self.now = world.now
+        self.service = clone_service(service)
+        self.rollout = self.service.rollout
+        self.observation = observation
+        self.now = observation.now
         self.descriptions = descriptions
-        self.main = self.r.to if self.r and self.r.phase != "returning" else self.s.good
-        self.d = descriptions.get(self.main) or descriptions[self.r.to if self.r else self.main]
-        self.by_serial = {seen.slot.serial: seen for seen in world.copies}
-        there = [self.by_serial[x.serial] for x in self.s.slots if x.serial in self.by_serial]
-        self.staying = [seen for seen in there if not seen.slot.leaving and not seen.over]
-        # What nobody has seen for a while is not there as far as refilling goes, and may be as
-        # far as the limit goes: it counts as soon as it is seen again.
-        rounds_s = 2 * self.d.check.every_s * (self.d.check.healthy_after + 1)
-        lost_s = max(rc.LOST_S, rounds_s)  # a new leader needs some rounds to know a copy
-        self.lost = [x for x in self.staying if x.state == UNKNOWN and x.for_s > lost_s]
+        self.target = (
+            self.rollout.to
+            if self.rollout and self.rollout.phase != "returning"
+            else self.service.good
+        )
+        self.spec = (
+            descriptions.get(self.target)
+            or descriptions[self.rollout.to if self.rollout else self.target]
+        )
+        self.by_serial = {status.slot.serial: status for status in observation.copies}
+        known = [self.by_serial[x.serial] for x in self.service.slots if x.serial in self.by_serial]
+        self.staying = [x for x in known if not x.slot.leaving and not x.job_ended]
+        # A copy that has been unknown for some time is refilled as if it were gone, but may still
+        # run: the limit on copies counts it, and it is present again as soon as it is observed.
+        rounds_s = 2 * self.spec.check.every_s * (self.spec.check.healthy_after + 1)
+        lost_s = max(rc.LOST_AFTER_S, rounds_s)  # a new leader needs some rounds to assess a copy
+        self.lost = [x for x in self.staying if x.state == UNKNOWN and x.in_state_s > lost_s]
         lost = {x.slot.serial for x in self.lost}
         self.present = [x for x in self.staying if x.slot.serial not in lost]
-        self.stands = False  # it holds: nothing is done but to refill a broken floor
+        self.on_hold = False  # when set, copies are only started to restore the floor
         self.healthy = sum(x.state == HEALTHY for x in self.staying)
 
-    # --- questions --------------------------------------------------------------------------
-    def of(self, version: int) -> list[Seen]:
+    # --- queries ----------------------------------------------------------------------------
+    def of_version(self, version: int) -> list[CopyStatus]:
         return [x for x in self.present if x.slot.version == version]
 
-    def others(self, version: int) -> list[Seen]:
+    def other_versions(self, version: int) -> list[CopyStatus]:
         return [x for x in self.present if x.slot.version != version]
 
-    def want(self) -> int:
-        """Copies of `main` that this step asks for."""
-        if self.s.removed:
+    def target_copies(self) -> int:
+        """Number of copies of the target version that the current step asks for."""
+        if self.service.removed:
             return 0
-        if self.r and self.r.phase in ("advancing", "baking") and self.s.good:
-            return self.d.wanted[min(self.r.step, len(self.d.wanted) - 1)]
-        # A first version has nothing beside it that steps could spare.
-        return self.d.copies if self.main else 0
-
-    def least(self) -> int:
-        """Healthy copies that no decision may go under: the higher floor of the two versions."""
-        if self.s.removed or not self.s.good:
+        if self.rollout and self.rollout.phase in ("advancing", "baking") and self.service.good:
+            return self.spec.step_targets[min(self.rollout.step, len(self.spec.step_targets) - 1)]
+        # The first version has no older copies to replace in steps.
+        return self.spec.copies if self.target else 0
+
+    def min_healthy(self) -> int:
+        """Fewest healthy copies that a decision may leave: the higher floor of both versions."""
+        if self.service.removed or not self.service.good:
             return 0
-        floors = [self.d.least]
-        if self.s.good in self.descriptions:
-            floors.append(self.descriptions[self.s.good].least)
+        floors = [self.spec.min_healthy]
+        if self.service.good in self.descriptions:
+            floors.append(self.descriptions[self.service.good].min_healthy)
         return max(floors)
 
-    def is_short(self) -> bool:
-        return len(self.of(self.main)) < self.want() or len(self.present) != self.d.copies
+    def is_incomplete(self) -> bool:
+        return (
+            len(self.of_version(self.target)) < self.target_copies()
+            or len(self.present) != self.spec.copies
+        )
 
-    def copies_back(self) -> int:
-        return self.d.copies if self.s.good and not self.s.removed else 0
+    def copies_after_rollback(self) -> int:
+        return self.spec.copies if self.service.good and not self.service.removed else 0
 
     # --- zones ------------------------------------------------------------------------------
-    def zones_open(self, d: Description) -> list[str]:
-        """Zones that may take a copy: seen, and with nobody who waits for room there."""
-        allowed = [z for z in self.world.zones if d.zones is None or z in d.zones]
-        shut = {x.slot.zone for x in self.lost}
-        shut -= {x.slot.zone for x in self.present if x.state == HEALTHY}
-        shut |= {x.slot.zone for x in self.present if self.is_stuck(x)}
-        return [z for z in allowed if z not in shut]
+    def open_zones(self, d: Description) -> list[str]:
+        """Zones that may take a copy: none is stuck in the queue there, and the zone is not lost.
+
+        A zone counts as lost when it has lost copies and no healthy one.
+        """
+        allowed = [z for z in self.observation.zones if d.zones is None or z in d.zones]
+        closed = {x.slot.zone for x in self.lost}
+        closed -= {x.slot.zone for x in self.present if x.state == HEALTHY}
+        closed |= {x.slot.zone for x in self.present if self.is_stuck(x)}
+        return [z for z in allowed if z not in closed]
 
     def next_zone(self, d: Description) -> str:
-        """Where the next copy goes: the zone with the fewest, over all versions together."""
+        """Zone of the next copy: the one with the fewest copies of all versions together."""
         if not d.spread and d.zones is None:
             return ""
-        zones = self.zones_open(d) or [z for z in self.world.zones if not d.zones or z in d.zones]
-        return emptiest(zones, self.present, self.main)
+        zones = self.open_zones(d) or [
+            z for z in self.observation.zones if not d.zones or z in d.zones
+        ]
+        return least_used_zone(zones, self.present, self.target)
+
+    def is_stuck(self, x: CopyStatus) -> bool:
+        """Whether a queued copy has waited too long for room in its zone.
 
-    def is_stuck(self, x: Seen) -> bool:
-        """It waits for room in vain; soon for one that lost its machine where none is left."""
+        The limit is shorter for one that lost its machine in a zone without healthy copies.
+        """
         if x.state != QUEUED:
             return False
         alone = not any(y.state == HEALTHY and y.slot.zone == x.slot.zone for y in self.present)
-        return x.for_s > (rc.LOST_S if x.again and alone and self.healthy else rc.QUEUED_S)
+        return x.in_state_s > (
+            rc.LOST_AFTER_S if x.requeued and alone and self.healthy else rc.MOVE_QUEUED_AFTER_S
+        )
 
-    def slot_of(self, seen: Seen) -> Slot:
-        return next(x for x in self.s.slots if x.serial == seen.slot.serial)
+    def slot_of(self, status: CopyStatus) -> Slot:
+        return next(x for x in self.service.slots if x.serial == status.slot.serial)
--- a/pulleydeal/rollouts/prober.py
+++ b/pulleydeal/rollouts/prober.py
@@ -1,4 +1,4 @@
-"""Asks copies how they are: one HTTP request each, few at once, nothing kept open."""
+"""Sends health checks to copies: one HTTP request each, bounded concurrency, no kept connection."""
 
 import asyncio
 
@@ -6,40 +6,44 @@
 from pulleydeal.http import Client, NoAnswer
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.description import Check
-from pulleydeal.rollouts.health import Answer, Copy
+from pulleydeal.rollouts.health import ProbeResult, RegisteredCopy
 
 
 class Prober:
+    """Checks many copies at once, with at most MAX_CONCURRENT_PROBES requests in flight."""
+
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._gate = asyncio.Semaphore(rc.PROBES_AT_ONCE)
-        self.sent = 0
-
-    async def round(self, copies: list[Copy], check: Check) -> tuple[dict[str, Answer], float]:
-        """Answers by job, and how late the round was: a prober that stood still, or that had to
-        queue for its own sockets, says nothing about copies."""
-        began = self._clock.now()
-        answers: dict[str, Answer] = {}
-
-        async def one(copy: Copy) -> None:
-            async with self._gate:
-                answers[copy.job] = await self._ask(copy, check)
-
-        await asyncio.gather(*(one(copy) for copy in copies))
-        waves = -(-len(copies) // rc.PROBES_AT_ONCE)
-        took = self._clock.now() - began
-        return answers, max(0.0, took - waves * check.timeout_s)
-
-    async def _ask(self, copy: Copy, check: Check) -> Answer:
-        self.sent += 1
+        self._slots = asyncio.Semaphore(rc.MAX_CONCURRENT_PROBES)
+        self.probes_sent = 0
+
+    async def check_all(
+        self, copies: list[RegisteredCopy], check: Check
+    ) -> tuple[dict[str, ProbeResult], float]:
+        """Results by job, and by how much the round exceeded its expected duration. A prober that
+        was stalled, or that had to wait for sockets of its own, proves nothing about copies."""
+        started = self._clock.now()
+        results: dict[str, ProbeResult] = {}
+
+        async def check_one(copy: RegisteredCopy) -> None:
+            async with self._slots:
+                results[copy.job] = await self._probe(copy, check)
+
+        await asyncio.gather(*(check_one(copy) for copy in copies))
+        batches = -(-len(copies) // rc.MAX_CONCURRENT_PROBES)
+        elapsed_s = self._clock.now() - started
+        return results, max(0.0, elapsed_s - batches * check.timeout_s)
+
+    async def _probe(self, copy: RegisteredCopy, check: Check) -> ProbeResult:
+        self.probes_sent += 1
         client = Client(copy.address, self._clock)
         try:
             status, body = await client.request("GET", check.path, None, check.timeout_s)
         except NoAnswer as error:
-            return Answer("silent", f"no answer: {error}"[: rc.EVIDENCE_CHARS])
+            return ProbeResult("silent", f"no answer: {error}"[: rc.MAX_EVIDENCE_CHARS])
         finally:
             client.close()
         if 200 <= status < 300:
-            return Answer("good", str(status))
-        text = body[: rc.EVIDENCE_CHARS].decode(errors="replace").strip()
-        return Answer("bad", f"{status} {text}"[: rc.EVIDENCE_CHARS])
+            return ProbeResult("good", str(status))
+        text = body[: rc.MAX_EVIDENCE_CHARS].decode(errors="replace").strip()
+        return ProbeResult("bad", f"{status} {text}"[: rc.MAX_EVIDENCE_CHARS])
--- a/pulleydeal/rollouts/registry.py
+++ b/pulleydeal/rollouts/registry.py
@@ -1,6 +1,7 @@
-"""Which copies are known to a service's leader: they register where they listen, by a lease.
+"""Registrations of a service's copies with its leader: each copy renews its address by a lease.
 
-In memory only: a new leader hears of every copy within RENEW_S, as copies go where they are sent.
+Kept in memory only: a new leader learns of every copy within REGISTRATION_RENEW_S, as a copy that
+registers with another node is redirected to the leader.
 """
 
 from typing import Annotated
@@ -8,45 +9,51 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from pulleydeal.rollouts.health import Copy, registered
+from pulleydeal.rollouts.health import RegisteredCopy, is_registered
 
 Count = Annotated[int, Meta(ge=0)]
 
 
 class Registration(Struct):
-    """What a copy says, every RENEW_S."""
+    """The request body that a copy sends every REGISTRATION_RENEW_S."""
 
     service: Annotated[str, Meta(max_length=40)]
     job: Annotated[str, Meta(max_length=40)]
     attempt: Count
     address: Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
-    busy: Count | None = None  # requests that it serves now
+    busy: Count | None = None  # number of requests being served
 
 
 REGISTRATION = msgspec.json.Decoder(Registration)
 
 
 class Registry:
-    """One service's copies, by job."""
+    """One service's registered copies, by job id."""
 
     def __init__(self) -> None:
-        self.copies: dict[str, Copy] = {}
-
-    def take(self, said: Registration, zone: str, now: float) -> None:
-        """A later attempt, or another address, is another copy: nothing known of the one before
-        speaks for or against it."""
-        copy = self.copies.get(said.job)
-        if copy is None or (copy.attempt, copy.address) != (said.attempt, said.address):
-            copy = Copy(said.job, said.attempt, said.address, zone, now, now)
-            self.copies[said.job] = copy
-        copy.renewed = now
-        copy.busy = said.busy
-
-    def drop_old(self, now: float, jobs: set[str]) -> None:
-        """Forgets what is no copy any more. A registration that has run out stays while its zone
-        is out of sight, as its state is then unknown, not gone."""
+        self.copies: dict[str, RegisteredCopy] = {}
+
+    def register(self, registration: Registration, zone: str, now: float) -> None:
+        """Adds or renews a copy. Another attempt or address is a different copy, which starts
+        without the evidence collected about the previous one."""
+        copy = self.copies.get(registration.job)
+        if copy is None or (copy.attempt, copy.address) != (
+            registration.attempt,
+            registration.address,
+        ):
+            copy = RegisteredCopy(
+                registration.job, registration.attempt, registration.address, zone, now, now
+            )
+            self.copies[registration.job] = copy
+        copy.renewed_at = now
+        copy.active_requests = registration.busy
+
+    def remove_unlisted(self, now: float, jobs: set[str]) -> None:
+        """Removes copies whose jobs are not in `jobs`. Expired registrations are kept, because the
+        state of a copy in an unreachable zone is unknown; the copy has not necessarily ended."""
         for job in [job for job in self.copies if job not in jobs]:
             del self.copies[job]
 
-    def live(self, now: float) -> list[Copy]:
-        return [copy for copy in self.copies.values() if registered(copy, now)]
+    def live(self, now: float) -> list[RegisteredCopy]:
+        """Copies whose registration has not expired."""
+        return [copy for copy in self.copies.values() if is_registered(copy, now)]
--- a/pulleydeal/rollouts/seen.py
+++ b/pulleydeal/rollouts/seen.py
@@ -1,4 +1,4 @@
-"""What decisions are made from and what they are, and how both are told to people."""
+"""Input and output types of roll-out decisions, and the texts that describe them to operators."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,39 +9,43 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """One copy as its leader sees it."""
+class CopyStatus:
+    """State of one copy as observed by the service's leader."""
 
     slot: Slot
     state: str
-    why: str = ""
-    for_s: float = 0.0  # it has been in this state for so long
-    over: bool = False  # its job is cancelled or done: the place is empty
-    idle: bool = False  # it says that it serves no request
-    again: bool = False  # it had a machine before, and waits for another
+    reason: str = ""
+    in_state_s: float = 0.0  # time since the copy entered this state
+    job_ended: bool = False  # its job is cancelled, done or missing, so its slot can be removed
+    idle: bool = False  # the copy reports that it serves no request
+    requeued: bool = False  # it had a machine before and waits for another
 
 
 @dataclass(slots=True)
-class World:
+class Observation:
+    """Everything about a service's copies that one decision is based on."""
+
     now: float  # wall clock
-    copies: list[Seen]
-    zones: list[str]  # of the deployment
-    steady_s: float = 1e9  # for how long this leader has had evidence without a break
+    copies: list[CopyStatus]
+    zones: list[str]  # all zones of the deployment
+    all_healthy_s: float = 1e9  # how long this leader has seen every remaining copy healthy
 
 
 @dataclass(slots=True)
 class Decision:
+    """The changed service record, with the jobs to start and stop in the same transaction."""
+
     service: Service
-    what: str
-    why: str = ""
+    action: str
+    reason: str = ""
     evidence: list[str] = field(default_factory=list)
-    start: list[Slot] = field(default_factory=list)  # jobs to be accepted with it
-    stop: list[Slot] = field(default_factory=list)  # jobs to be cancelled with it
-    told: bool = True  # goes into the history
+    start: list[Slot] = field(default_factory=list)  # slots whose jobs are submitted
+    stop: list[Slot] = field(default_factory=list)  # slots whose jobs are cancelled
+    in_history: bool = True  # whether an entry is added to the service's history
 
 
-def copy_of(service: Service) -> Service:
-    """What a decision changes; the record that was read stays as it is."""
+def clone_service(service: Service) -> Service:
+    """Copies the parts that a decision changes, so that the record read is not modified."""
     return msgspec.structs.replace(
         service,
         slots=[msgspec.structs.replace(s) for s in service.slots],
@@ -49,30 +53,33 @@
     )
 
 
-def version_of(slot: Slot) -> str:
+def version_and_zone(slot: Slot) -> str:
     return f"version {slot.version}" + (f", {slot.zone}" if slot.zone else "")
 
 
-def named(slots: list[Slot]) -> str:
-    named = ", ".join(f"{x.serial}" for x in slots[:6])
-    return f"copies {named} (version {slots[0].version})"
+def slots_text(slots: list[Slot]) -> str:
+    serials = ", ".join(f"{x.serial}" for x in slots[:6])
+    return f"copies {serials} (version {slots[0].version})"
 
 
-def line_of(x: Seen) -> str:
-    return f"copy {x.slot.serial} ({version_of(x.slot)}) {x.state} for {x.for_s:.0f} s: {x.why}"
+def evidence_line(x: CopyStatus) -> str:
+    return (
+        f"copy {x.slot.serial} ({version_and_zone(x.slot)})"
+        f" {x.state} for {x.in_state_s:.0f} s: {x.reason}"
+    )
 
 
-def begin(service: Service, version: int, now: float) -> Decision:
-    """A roll-out of a version that stands already; there is none under way."""
-    s = copy_of(service)
-    s.rollouts += 1
-    s.removed = False
-    s.rollout = Rollout(s.rollouts, version, since=now, began=now)
-    return Decision(s, f"roll-out {s.rollouts} of version {version} starts")
+def begin_rollout(service: Service, version: int, now: float) -> Decision:
+    """Starts a roll-out of an existing version; no other roll-out may be under way."""
+    clone = clone_service(service)
+    clone.rollouts += 1
+    clone.removed = False
+    clone.rollout = Rollout(clone.rollouts, version, since=now, began=now)
+    return Decision(clone, f"roll-out {clone.rollouts} of version {version} starts")
 
 
-def emptiest(zones: list[str], present: list[Seen], version: int) -> str:
-    """The zone with the fewest copies, over all versions, and then of this one."""
-    crowd = Counter(x.slot.zone for x in present)
-    same = Counter(x.slot.zone for x in present if x.slot.version == version)
-    return min(zones, key=lambda z: (crowd[z], same[z], z))
+def least_used_zone(zones: list[str], present: list[CopyStatus], version: int) -> str:
+    """The zone with the fewest copies of all versions; ties go to the fewest of `version`."""
+    copies_in = Counter(x.slot.zone for x in present)
+    same_version_in = Counter(x.slot.zone for x in present if x.slot.version == version)
+    return min(zones, key=lambda z: (copies_in[z], same_version_in[z], z))
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -1,4 +1,4 @@
-"""Leads roll-outs: looks at each service that is led here, and carries out what is decided."""
+"""Feature service of roll-outs: evaluates each service led by this node and commits decisions."""
 
 import asyncio
 import logging
@@ -14,8 +14,8 @@
 from pulleydeal.rollouts.decide import decide
 from pulleydeal.rollouts.description import Description
 from pulleydeal.rollouts.prober import Prober
-from pulleydeal.rollouts.seeing import Watch
-from pulleydeal.rollouts.seen import Decision, World
+from pulleydeal.rollouts.seeing import ServiceMonitor
+from pulleydeal.rollouts.seen import Decision, Observation
 from pulleydeal.store import records as r
 from pulleydeal.store.client import Unavailable, Unknown
 from pulleydeal.store.limits import TooLarge
@@ -23,25 +23,28 @@
 
 log = logging.getLogger("pulleydeal.rollouts")
 T = TypeVar("T")
-CHANGES = rc.AT_ONCE + 4  # in one transaction at most: jobs, service, endpoints, entry, old entry
+# Most operations in one transaction: jobs, service, endpoints, new entry, expired entry.
+MAX_TRANSACTION_OPS = rc.MAX_BATCH_COPIES + 4
 
 
 class Rollouts:
+    """Runs the roll-outs of all services that this node leads."""
+
     def __init__(self, node: Service) -> None:
         from pulleydeal.rollouts.interface import Interface
 
         self.node = node
         self.clock = node.clock
         self.replica = node.replica
-        self.records = Records("rollouts", rc.FORMAT, node.membership, node.store)
-        self.watches: dict[str, Watch] = {}
+        self.records = Records("rollouts", rc.RECORD_FORMAT, node.membership, node.store)
+        self.monitors: dict[str, ServiceMonitor] = {}
         self.prober = Prober(node.clock)
-        self.writes = 0  # transactions of decisions
-        self._background = Background("a round of checks failed")
-        self._decoded: dict[str, tuple[int, object]] = {}
+        self.decisions_committed = 0  # number of transactions that carried a decision
+        self._background = Background("a round of health checks failed")
+        self._decode_cache: dict[str, tuple[int, object]] = {}
         self.interface = Interface(self)
 
-    # --- what the switch asks ---------------------------------------------------------------
+    # --- feature interface ------------------------------------------------------------------
     def loops(self) -> dict[str, Step]:
         return {"rollouts": self.tick}
 
@@ -52,32 +55,32 @@
         return self.interface.paths()
 
     async def start(self) -> None:
-        if self.node.store.limits.ops < CHANGES:
+        if self.node.store.limits.ops < MAX_TRANSACTION_OPS:
             raise OSError(
-                f"roll-outs need transactions of {CHANGES} changes, and the state service takes"
-                f" {self.node.store.limits.ops}: switch them off"
+                f"roll-outs need transactions of {MAX_TRANSACTION_OPS} operations, and the state"
+                f" service allows {self.node.store.limits.ops}: disable the rollouts feature"
             )
 
     # --- records ------------------------------------------------------------------------------
-    def _get(self, name: str, type_: type[T]) -> T | None:
-        """A record, decoded once for each version of it; never to be changed in place."""
-        mark = self.records.mark(name)
-        cached = self._decoded.get(name)
-        if cached is None or cached[0] != mark:
-            cached = (mark, self.records.get(name, type_))
-            self._decoded[name] = cached
+    def _decode(self, name: str, type_: type[T]) -> T | None:
+        """A record, decoded once per stored version. Shared: callers must not modify it."""
+        record_version = self.records.mark(name)
+        cached = self._decode_cache.get(name)
+        if cached is None or cached[0] != record_version:
+            cached = (record_version, self.records.get(name, type_))
+            self._decode_cache[name] = cached
         found = cached[1]
         assert found is None or isinstance(found, type_)
         return found
 
     def service(self, name: str) -> st.Service | None:
-        return self._get(st.service_name(name), st.Service)
+        return self._decode(st.service_record_name(name), st.Service)
 
     def version(self, name: str, number: int) -> st.Version | None:
-        return self._get(st.version_name(name, number), st.Version)
+        return self._decode(st.version_record_name(name, number), st.Version)
 
     def endpoints(self, name: str) -> st.Endpoints:
-        return self._get(st.endpoints_name(name), st.Endpoints) or st.Endpoints()
+        return self._decode(st.endpoints_record_name(name), st.Endpoints) or st.Endpoints()
 
     def names(self) -> list[str]:
         return [name.removeprefix("s/") for name in self.records.names("s/")]
@@ -91,116 +94,127 @@
 
     # --- leading ------------------------------------------------------------------------------
     async def tick(self) -> None:
-        """One round over the services that are led here."""
+        """Evaluates the services led by this node that are due."""
         await asyncio.sleep(rc.TICK_S)
         if not self.records.ready:
-            # An older node, or one with the feature off: nothing is begun that it might lead.
-            self.watches.clear()
+            # Some node is older or has the feature off, and might become a leader: start nothing.
+            self.monitors.clear()
             return
         now = self.clock.now()
         led = {name for name in self.names() if self.records.leads(name)}
-        for name in [name for name in self.watches if name not in led]:
-            del self.watches[name]
+        for name in [name for name in self.monitors if name not in led]:
+            del self.monitors[name]
         for name in sorted(led):
-            watch = self.watches.setdefault(name, Watch(now))
-            if now >= watch.next_look:
-                await self.look(name, watch)
+            monitor = self.monitors.setdefault(name, ServiceMonitor(now))
+            if now >= monitor.next_evaluation:
+                await self.evaluate(name, monitor)
 
-    async def look(self, name: str, watch: Watch) -> None:
+    async def evaluate(self, name: str, monitor: ServiceMonitor) -> None:
+        """Starts a round of checks if one is due, then decides and commits the next step."""
         service = self.service(name)
         if service is None:
             return
         now = self.clock.now()
-        watch.next_look = now + (rc.TICK_S if service.rollout else rc.STEADY_S)
+        monitor.next_evaluation = now + (rc.TICK_S if service.rollout else rc.IDLE_EVALUATION_S)
         descriptions = self.descriptions(name, service)
         current = service.rollout.to if service.rollout else service.good
         if current not in descriptions:
             return
         check = descriptions[current].check
-        watch.registry.drop_old(now, {st.job_id(name, x.serial) for x in service.slots})
-        if not watch.checking and now >= watch.round_due and watch.registry.copies:
-            late_s = 0.0 if watch.round_due < 0 else now - watch.round_due
-            watch.round_due = now + check.every_s
-            watch.checking = True
-            self._background.spawn(self._check(watch, descriptions[current], late_s))
-        world = self.see(name, service, watch, descriptions[current])
-        decision = decide(service, descriptions, world)
-        before = self.endpoints(name).ready
-        after = decision.service if decision else service
-        leaving = {x.serial for x in after.slots if x.leaving}
-        leaving |= {x.slot.serial for x in world.copies} - {x.serial for x in after.slots}
-        ready = seeing.ready(name, world, watch, before, leaving)
-        if decision is None and ready == before:
+        monitor.registry.remove_unlisted(now, {st.job_id(name, x.serial) for x in service.slots})
+        if not monitor.checking and now >= monitor.check_due and monitor.registry.copies:
+            late_s = 0.0 if monitor.check_due < 0 else now - monitor.check_due
+            monitor.check_due = now + check.every_s
+            monitor.checking = True
+            self._background.spawn(self._run_checks(monitor, descriptions[current], late_s))
+        observation = self.observe(name, service, monitor, descriptions[current])
+        decision = decide(service, descriptions, observation)
+        previous = self.endpoints(name).ready
+        updated = decision.service if decision else service
+        leaving = {x.serial for x in updated.slots if x.leaving}
+        leaving |= {x.slot.serial for x in observation.copies} - {x.serial for x in updated.slots}
+        ready = seeing.ready_endpoints(name, observation, monitor, previous, leaving)
+        if decision is None and ready == previous:
             return
         try:
-            if await self.carry_out(name, service, decision, ready if ready != before else None):
-                watch.next_look = now
+            if await self.commit_decision(
+                name, service, decision, ready if ready != previous else None
+            ):
+                monitor.next_evaluation = now
         except (Unavailable, Unknown, TimeoutError) as error:
-            log.debug("service %s: %s", name, error)
+            log.debug("service %s: commit of a decision failed or is unconfirmed: %s", name, error)
         except TooLarge as error:
-            log.error("service %s: %s", name, error)
+            log.error("service %s: a decision exceeds the state service's limits: %s", name, error)
 
-    def see(self, name: str, service: st.Service, watch: Watch, d: Description) -> World:
+    def observe(
+        self, name: str, service: st.Service, monitor: ServiceMonitor, d: Description
+    ) -> Observation:
         jobs = [st.job_id(name, slot.serial) for slot in service.slots]
         reasons = {job: self.node.reason(job) for job in jobs}
         now, wall = self.clock.now(), self.clock.wall()
-        before, zones = self.endpoints(name).ready, self.node.zones
-        return seeing.see(
-            name, service, d.check, self.replica, watch, reasons, before, zones, now, wall
+        previous, zones = self.endpoints(name).ready, self.node.zones
+        return seeing.observe(
+            name, service, d.check, self.replica, monitor, reasons, previous, zones, now, wall
         )
 
-    async def _check(self, watch: Watch, d: Description, late_s: float) -> None:
+    async def _run_checks(self, monitor: ServiceMonitor, d: Description, late_s: float) -> None:
         try:
-            copies = watch.registry.live(self.clock.now())
-            answers, over_s = await self.prober.round(copies, d.check)
+            copies = monitor.registry.live(self.clock.now())
+            results, overrun_s = await self.prober.check_all(copies, d.check)
             now = self.clock.now()
-            health.take_round(copies, answers, d.check, now, max(late_s, over_s))
+            health.apply_round(copies, results, d.check, now, max(late_s, overrun_s))
         finally:
-            watch.checking = False
+            monitor.checking = False
 
-    async def carry_out(
+    async def commit_decision(
         self,
         name: str,
-        read: st.Service,
+        base: st.Service,
         decision: Decision | None,
         ready: list[st.Endpoint] | None,
     ) -> bool:
-        """One transaction: the record, the history, the endpoints, and jobs begun or ended."""
-        key = st.service_name(name)
-        marks = {key: self.records.mark(key)}
-        if self.service(name) is not read:
-            return False  # it moved while this was being decided
+        """Commits in one transaction the service record, history, endpoints, and job changes.
+
+        `base` is the service record that the decision started from. Returns False, with nothing
+        written, if it, the view or another record that the transaction depends on has changed.
+        """
+        key = st.service_record_name(name)
+        read_versions = {key: self.records.mark(key)}
+        if self.service(name) is not base:
+            return False  # the record changed while the decision was made
         puts: dict[str, object] = {}
         drops: list[str] = []
-        also: dict[str, object] = {}
-        also_read: dict[str, int] = {}
+        job_puts: dict[str, object] = {}
+        job_versions: dict[str, int] = {}
         wall = self.clock.wall()
         if ready is not None:
-            endpoints = st.endpoints_name(name)
+            endpoints = st.endpoints_record_name(name)
             puts[endpoints] = st.Endpoints(ready)
-            marks[endpoints] = self.records.mark(endpoints)
+            read_versions[endpoints] = self.records.mark(endpoints)
         if decision is not None:
             service = decision.service
-            if decision.told:
-                drops += self.tell(name, service, decision, wall, puts)
+            if decision.in_history:
+                drops += self.add_history_entry(name, service, decision, wall, puts)
             puts[key] = service
             for slot in decision.start:
-                self._accept(name, slot, wall, also, also_read)
+                self._submit_job(name, slot, wall, job_puts, job_versions)
             for slot in decision.stop:
-                self._cancel(name, slot, wall, also, also_read)
-        done = await self.records.commit(marks, puts, drops, also, also_read, Turn.WORK)
+                self._cancel_job(name, slot, wall, job_puts, job_versions)
+        done = await self.records.commit(
+            read_versions, puts, drops, job_puts, job_versions, Turn.WORK
+        )
         if done and decision is not None:
-            self.writes += 1
+            self.decisions_committed += 1
             log.info(
                 "service %s: %s%s",
                 name,
-                decision.what,
-                f" ({decision.why})" if decision.why else "",
+                decision.action,
+                f" ({decision.reason})" if decision.reason else "",
                 extra={"feature": "rollouts"},
             )
         return done
 
-    def tell(
+    def add_history_entry(
         self,
         name: str,
         service: st.Service,
@@ -208,40 +222,40 @@
         wall: float,
         puts: dict[str, object],
     ) -> list[str]:
-        """Adds an entry to the history; returns the entries that go for it."""
+        """Adds a history entry to `puts`; returns the names of expired entries to delete."""
         service.entries += 1
-        puts[st.entry_name(name, service.entries)] = st.entry(
-            wall, service, decision.what, decision.why, decision.evidence
+        puts[st.entry_record_name(name, service.entries)] = st.history_entry(
+            wall, service, decision.action, decision.reason, decision.evidence
         )
-        old = st.entry_name(name, service.entries - rc.KEPT_ENTRIES)
-        return [old] if self.records.mark(old) else []
+        expired = st.entry_record_name(name, service.entries - rc.KEPT_HISTORY_ENTRIES)
+        return [expired] if self.records.mark(expired) else []
 
-    def _accept(
+    def _submit_job(
         self,
         name: str,
         slot: st.Slot,
         wall: float,
-        also: dict[str, object],
-        also_read: dict[str, int],
+        job_puts: dict[str, object],
+        job_versions: dict[str, int],
     ) -> None:
         version = self.version(name, slot.version)
         assert version is not None
         spec = version.description.job(st.job_id(name, slot.serial), slot.zone)
         key = r.job_key(spec.id)
-        also[key] = r.JobRecord("open", 1, wall, spec)
-        also_read[key] = 0  # absent: a repeat of what was done already changes nothing
+        job_puts[key] = r.JobRecord("open", 1, wall, spec)
+        job_versions[key] = 0  # must be absent: a repeated transaction has no effect
 
-    def _cancel(
+    def _cancel_job(
         self,
         name: str,
         slot: st.Slot,
         wall: float,
-        also: dict[str, object],
-        also_read: dict[str, int],
+        job_puts: dict[str, object],
+        job_versions: dict[str, int],
     ) -> None:
         job = self.replica.jobs.get(st.job_id(name, slot.serial))
         if job is None or job.record is None or job.record.state != "open":
             return
         key = r.job_key(job.id)
-        also[key] = r.cancelled(job.record, job.spec, wall, self.node.keeping.holds_back())
-        also_read[key] = job.version
+        job_puts[key] = r.cancelled(job.record, job.spec, wall, self.node.keeping.holds_back())
+        job_versions[key] = job.version
