--- a/pulleydeal/rollouts/look.py
+++ b/pulleydeal/rollouts/look.py
@@ -66,19 +66,21 @@
         return max(floors)
 
     def is_incomplete(self) -> bool:
+        """Whether copies of the target version are missing, or the total is not `copies`."""
         return (
             len(self.of_version(self.target)) < self.target_copies()
             or len(self.present) != self.spec.copies
         )
 
     def copies_after_rollback(self) -> int:
+        """Number of copies of the good version that a complete roll-back leaves."""
         return self.spec.copies if self.service.good and not self.service.removed else 0
 
     # --- zones ------------------------------------------------------------------------------
     def open_zones(self, d: Description) -> list[str]:
-        """Zones that may take a copy: none is stuck in the queue there, and the zone is not lost.
+        """Zones that may take another copy.
 
-        A zone counts as lost when it has lost copies and no healthy one.
+        Excludes zones where a copy is stuck in the queue, or with lost copies and no healthy one.
         """
         allowed = [z for z in self.observation.zones if d.zones is None or z in d.zones]
         closed = {x.slot.zone for x in self.lost}
@@ -98,7 +100,8 @@
     def is_stuck(self, x: CopyStatus) -> bool:
         """Whether a queued copy has waited too long for room in its zone.
 
-        The limit is shorter for one that lost its machine in a zone without healthy copies.
+        The limit is shorter for a copy that lost its machine in a zone without healthy copies,
+        if copies in other zones are healthy.
         """
         if x.state != QUEUED:
             return False
