--- a/pulleydeal/features/__init__.py
+++ b/pulleydeal/features/__init__.py
@@ -1,1 +1,1 @@
-"""What is switched on in `deploy/features.toml`, and the context that such parts share."""
+"""Optional features, enabled in `deploy/features.toml`, and the infrastructure they share."""
--- a/pulleydeal/features/constants.py
+++ b/pulleydeal/features/constants.py
@@ -1,4 +1,4 @@
-"""Constants of what features share, each with its unit and reason."""
+"""Constants shared by features, each with its unit and reason."""
 
-PAGE = 100  # items of a page unless asked otherwise: a screenful or two
-PAGE_MOST = 500  # items of a page at most: some 100 KiB
+PAGE = 100  # default items per page: about two screens
+PAGE_MOST = 500  # maximum items per page: about 100 KiB
--- a/pulleydeal/features/context.py
+++ b/pulleydeal/features/context.py
@@ -1,4 +1,4 @@
-"""What features may use of the node, typed; the node and its slices know no feature."""
+"""The interface between the node and its features. Core packages do not depend on features."""
 
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
@@ -24,22 +24,24 @@
 
 
 class Feature(Protocol):
+    """A part of the node that can be enabled separately."""
+
     def loops(self) -> dict[str, Step]:
-        """Steps that the node runs for ever, by name."""
+        """Steps that the node repeats for as long as it runs, by name."""
 
     def routes(self) -> "list[Route]":
-        """What operators may ask of it."""
+        """Its routes in the operators' interface."""
 
     def paths(self) -> dict[str, Handler]:
-        """What it answers beside the users' paths, by the first part of the path."""
+        """Handlers for additional paths on the users' port, by first path segment."""
 
     async def start(self) -> None:
-        """Called once, before the loops."""
+        """Called once, before the loops start."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeatureContext:
-    """What is there before the slices that work with machines and users are built."""
+    """The services that exist before those that handle machines and users are built."""
 
     membership: Membership
     siblings: Siblings
@@ -47,7 +49,7 @@
     clock: Clock
     metrics: Metrics
     deployment: Deployment
-    stations: dict[str, Station]  # machines that this node owns
+    stations: dict[str, Station]  # by name, for the machines that this node owns
 
     @property
     def replica(self) -> Replica:
@@ -56,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Service(FeatureContext):
-    """The whole node, for what stands on it."""
+    """All services of the node that features may use."""
 
     teams: dict[str, Team]
     zones: list[str]
     keeping: Keeping
-    ready: Callable[[], bool]  # whether users are answered here
-    reason: Callable[[str], str]  # why a job's tasks wait
+    ready: Callable[[], bool]  # whether this node serves users
+    reason: Callable[[str], str]  # job id -> why its tasks wait
     journal: Journal
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -1,8 +1,9 @@
-"""Where features keep what must last: keys below p/f/<feature>/, read from the replica.
+"""Durable records of features: keys below p/f/<feature>/, read from the replica.
 
-One place and one way for all of them: every commit is conditional on the view and on the marks
-it read, who leads a thing follows from its name, and nothing is relied on before every node has
-durably shown that it has the feature on and knows its records (`p/s/`).
+All features follow the same rules: every commit is conditional on the view and on the versions of
+the records it read, the leader of a thing follows from its name, and records are not relied on
+before every node has durably published that the feature is on and that it knows the record format
+(`p/s/`).
 """
 
 from collections.abc import Iterator
@@ -19,7 +20,7 @@
 
 
 class Records:
-    """One feature's own keys. Names must keep to `r.FEATURE_NAME` and may hold slashes."""
+    """The records of one feature. Names must match `r.FEATURE_NAME`, which allows slashes."""
 
     def __init__(self, feature: str, format_: int, membership: Membership, store: Store) -> None:
         self.feature = feature
@@ -27,14 +28,15 @@
         self._membership = membership
         self._store = store
         membership.serves[feature] = format_
-        self._kept = store.replica.keep_feature(feature)
+        self._records = store.replica.keep_feature(feature)
 
     def key(self, name: str) -> str:
         return r.feature_key(self.feature, name)
 
     @property
     def ready(self) -> bool:
-        """Records may be relied on: this node is a member and every node knows them."""
+        """Whether records may be relied on: the replica is loaded, this node is a member, and every
+        node supports the feature."""
         return (
             self._store.replica.loaded
             and self._membership.is_member
@@ -42,24 +44,24 @@
         )
 
     def leads(self, name: str) -> bool:
-        """Whether this node decides about the named thing, in the present view."""
+        """Whether this node leads the named thing in the current view."""
         return self._membership.leads(f"{self.feature} {name}")
 
     def leader(self, name: str) -> str:
-        """The node that decides about the named thing; empty: nobody at present."""
+        """The node that leads the named thing, or an empty string if none does."""
         return self._membership.leader(f"{self.feature} {name}")
 
     def names(self, prefix: str = "") -> Iterator[str]:
-        return (name for name in self._kept if name.startswith(prefix))
+        return (name for name in self._records if name.startswith(prefix))
 
     def mark(self, name: str) -> int:
-        """The version that a commit that read this record is conditional on; 0: it is absent."""
-        kept = self._kept.get(name)
-        return kept[1] if kept else 0
+        """The record's version, for use as a commit condition; 0 if the record does not exist."""
+        record = self._records.get(name)
+        return record[1] if record else 0
 
     def get(self, name: str, type_: type[T]) -> T | None:
-        kept = self._kept.get(name)
-        return msgspec.json.decode(kept[0], type=type_) if kept else None
+        record = self._records.get(name)
+        return msgspec.json.decode(record[0], type=type_) if record else None
 
     async def commit(
         self,
@@ -70,15 +72,15 @@
         also_read: dict[str, int] | None = None,
         turn: Turn = Turn.WORK,
     ) -> bool:
-        """One transaction: own records by name, others (`also`, a job's say) by key.
+        """Commits one transaction: own records by name, others (`also`, such as a job's) by key.
 
-        True: done and shown in the replica. False: the view or a mark moved, and nothing was
-        done. Raises what `Store.commit` does.
+        Returns True once it is applied and visible in the replica, False if the view or a version
+        had changed and nothing was written. Raises the same errors as `Store.commit`.
         """
         conditions = {r.VIEW: self._store.replica.view_version}
-        conditions |= {self.key(name): mark for name, mark in read.items()}
+        conditions |= {self.key(name): version for name, version in read.items()}
         conditions |= also_read or {}
         written: dict[str, Any] = {self.key(name): value for name, value in puts.items()}
         written |= also or {}
-        gone = [self.key(name) for name in drops or []]
-        return await self._store.commit(conditions, written, gone, turn=turn)
+        deletes = [self.key(name) for name in drops or []]
+        return await self._store.commit(conditions, written, deletes, turn=turn)
--- a/pulleydeal/features/routes.py
+++ b/pulleydeal/features/routes.py
@@ -1,4 +1,4 @@
-"""A route table that features add to: patterns, parameters, pages and errors in one way."""
+"""Routing for the operators' interface: path patterns, query parameters, paging and errors."""
 
 import heapq
 from collections.abc import Awaitable, Callable, Iterable
@@ -11,7 +11,7 @@
 
 
 class Problem(Exception):
-    """A request that can't be served: a status, a code for programs, a sentence for people."""
+    """An error response: HTTP status, machine-readable code and human-readable message."""
 
     def __init__(
         self, status: int, code: str, message: str, retry_after: int | None = None
@@ -27,15 +27,15 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A request that found its route."""
+    """A request matched to a route."""
 
     params: dict[str, str]  # from the path
     query: dict[str, str]
     body: bytes
-    id: str  # of the request, for the logs
+    id: str  # request id, for the logs
 
     def count(self, name: str, default: int, most: int) -> int:
-        """A whole number of the query between 1 and `most`; Problem 400 for anything else."""
+        """An integer query parameter from 1 to `most`. Raises Problem 400 for anything else."""
         raw = self.query.get(name)
         if raw is None:
             return default
@@ -50,26 +50,26 @@
         return value
 
 
-Handler = Callable[[Asked], Awaitable[Any]]  # what it returns is answered as JSON with 200
+Handler = Callable[[Asked], Awaitable[Any]]  # the result is sent as JSON with status 200
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
     method: str
-    pattern: str  # "/v1/jobs/{job}": a name in braces takes one segment
+    pattern: str  # as "/v1/jobs/{job}": a name in braces matches one segment
     does: str  # one line, shown to operators
     handler: Handler
-    query: tuple[str, ...] = ()  # names that it takes; others are refused
+    query: tuple[str, ...] = ()  # accepted query parameters; others are rejected
 
     def match(self, segments: list[str]) -> dict[str, str] | None:
-        mine = self.pattern.strip("/").split("/")
-        if len(mine) != len(segments):
+        pattern = self.pattern.strip("/").split("/")
+        if len(pattern) != len(segments):
             return None
         params = {}
-        for want, found in zip(mine, segments, strict=True):
-            if want.startswith("{"):
-                params[want.strip("{}")] = unquote(found)
-            elif want != found:
+        for expected, segment in zip(pattern, segments, strict=True):
+            if expected.startswith("{"):
+                params[expected.strip("{}")] = unquote(segment)
+            elif expected != segment:
                 return None
         return params
 
@@ -79,16 +79,16 @@
     routes: list[Route] = field(default_factory=list)
 
     def find(self, method: str, target: str, body: bytes, request_id: str) -> tuple[Route, Asked]:
-        """The route of a request; Problem 404, 405 or 400 if there is none."""
+        """The matching route. Raises Problem 404, 405 or 400 if there is none."""
         url = urlsplit(target)
         segments = url.path.strip("/").split("/")
-        others = []
+        other_methods = []
         for route in self.routes:
             params = route.match(segments)
             if params is None:
                 continue
             if route.method != method:
-                others.append(route.method)
+                other_methods.append(route.method)
                 continue
             query = {k: v[-1] for k, v in parse_qs(url.query, keep_blank_values=True).items()}
             for name in query:
@@ -96,16 +96,19 @@
                     known = ", ".join(route.query) or "nothing"
                     raise Problem(400, "bad_query", f"no query {name!r} here; it takes {known}")
             return route, Asked(params, query, body, request_id)
-        if others:
-            raise Problem(405, "wrong_method", f"only {', '.join(sorted(set(others)))}")
+        if other_methods:
+            raise Problem(405, "wrong_method", f"only {', '.join(sorted(set(other_methods)))}")
         raise Problem(404, "no_such_path", f"nothing is served at {url.path}; GET /v1 lists all")
 
 
 def page(asked: Asked, names: Iterable[str], shown: Callable[[str], Any]) -> dict[str, Any]:
-    """Items in the order of their names, after `after`; `next` is what to ask with for more."""
+    """One page of items in order of name, starting behind the query's `after`.
+
+    `next` is the value of `after` for the following page, or None.
+    """
     limit = asked.count("limit", fc.PAGE, fc.PAGE_MOST)
     after = asked.query.get("after", "")
-    found = heapq.nsmallest(limit + 1, (name for name in names if name > after))
-    more = len(found) > limit
-    found = found[:limit]
-    return {"items": [shown(name) for name in found], "next": found[-1] if more else None}
+    selected = heapq.nsmallest(limit + 1, (name for name in names if name > after))
+    has_more = len(selected) > limit
+    selected = selected[:limit]
+    return {"items": [shown(name) for name in selected], "next": selected[-1] if has_more else None}
--- a/pulleydeal/features/settings.py
+++ b/pulleydeal/features/settings.py
@@ -1,4 +1,4 @@
-"""`deploy/features.toml`: a section for each feature, typed; no section: the feature is off."""
+"""Settings of `deploy/features.toml`: one section per feature; without it the feature is off."""
 
 import ipaddress
 from pathlib import Path
@@ -10,29 +10,29 @@
 
 
 class FeaturesError(Exception):
-    """The file can't be used; the text names the file and the place in it."""
+    """The file is invalid; the message names the file and the position in it."""
 
 
 class OperatorsSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """The operators' interface. It knows no users yet, so it listens on loopback only."""
+    """The operators' interface. It has no authentication yet, so it listens on loopback only."""
 
     listen: Address
 
 
 class RolloutsSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Health-gated roll-outs of named services. Nothing to set yet: each service says its own."""
+    """Health-gated roll-outs of named services. No settings yet: each service defines its own."""
 
 
 class RecurringSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Cron tables. Needs requirements-recurring.txt; nothing to set yet."""
+    """Cron tables. Needs requirements-recurring.txt; no settings yet."""
 
 
 class ZonesSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """A zone that is cut off keeps its work. Nothing to set: all nodes must do the same."""
+    """Lets a zone that is cut off keep its work. No settings: all nodes must behave the same."""
 
 
 class JournalSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """Facts of many jobs in one change. On only while every node has it on (docs/journal.md)."""
+    """Journaled task facts. In effect only while every node has it on (docs/journal.md)."""
 
 
 class Features(Struct, forbid_unknown_fields=True, frozen=True):
@@ -43,15 +43,15 @@
     journal: JournalSettings | None = None
 
     def on(self) -> list[str]:
-        """The names of all that is switched on."""
+        """The names of the enabled features."""
         return [name for name in self.__struct_fields__ if getattr(self, name) is not None]
 
 
 def load(path: Path | None) -> Features:
-    """Reads a features file; without one everything is off. Raises FeaturesError."""
+    """Reads a features file; without one all features are off. Raises FeaturesError."""
     if path is None or not path.is_file():
         return Features()
-    import tomllib  # only for those who have such a file
+    import tomllib  # imported only when there is a file
 
     try:
         raw = tomllib.loads(path.read_text())
@@ -59,9 +59,9 @@
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
         raise FeaturesError(f"{path}: {error}") from error
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at ")
-        where = place.strip("`").removeprefix("$.") or "at the top"
-        raise FeaturesError(f"{path}: {where}: {text}") from error
+        text, _, location = str(error).partition(" - at ")
+        position = location.strip("`").removeprefix("$.") or "at the top"
+        raise FeaturesError(f"{path}: {position}: {text}") from error
     _check_listen(path, features)
     return features
 
@@ -70,15 +70,15 @@
     if features.operators is None:
         return
     host, port = split_address(features.operators.listen)
-    place = f"{path}: operators.listen"
+    setting = f"{path}: operators.listen"
     try:
         loopback = ipaddress.ip_address(host).is_loopback
     except ValueError as error:
-        raise FeaturesError(f"{place}: {error}") from error
+        raise FeaturesError(f"{setting}: {error}") from error
     if not loopback:
         raise FeaturesError(
-            f"{place}: {host} can be reached from other machines, and the operators' interface"
-            " does not know yet who asks: only an address of loopback is taken"
+            f"{setting}: {host} can be reached from other machines, and the operators' interface"
+            " has no authentication yet: only a loopback address is allowed"
         )
     if not 1 <= port <= 65_535:
-        raise FeaturesError(f"{place}: {port} is no port")
+        raise FeaturesError(f"{setting}: {port} is no port")
--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -1,4 +1,4 @@
-"""Starts what is switched on, and imports nothing else."""
+"""Builds the enabled features and imports no others."""
 
 from pulleydeal.features.context import Feature, FeatureContext, Service
 from pulleydeal.features.settings import Features
@@ -6,7 +6,8 @@
 
 
 def keeping(features: Features, context: FeatureContext) -> tuple[Keeping, list[Feature]]:
-    """Who may renew, prove and tell; and the feature that says so, if one is on."""
+    """The policy for renewing leases and for reporting cancellations, and the feature that provides
+    it, if enabled."""
     if features.zones is None:
         return Keeping(), []
     from pulleydeal.zones.service import Zones
@@ -16,7 +17,7 @@
 
 
 def switched_on(features: Features, service: Service, found: list[Feature]) -> list[Feature]:
-    """The features that are on, those already `found` among them, in the order of their start."""
+    """All enabled features in start order, beginning with those already in `found`."""
     if features.journal is not None:
         from pulleydeal.journal.feature import JournalFeature
 
--- a/pulleydeal/logs.py
+++ b/pulleydeal/logs.py
@@ -1,7 +1,8 @@
-"""Structured logs: the same fields as text or, with LOG_FORMAT=json, an object a line.
+"""Structured logging: the same fields as text or, with LOG_FORMAT=json, as one object per line.
 
-Fields stand in `extra`: job, task, machine, epoch, feature; request is added while one is
-answered. As text the message names the first four already, so only the others are appended.
+Fields are passed in `extra`: job, task, machine, epoch, feature; `request` is added while an
+operator's request is being handled. In text format the message already names the first four, so
+only the others are appended.
 """
 
 import contextvars
@@ -20,7 +21,7 @@
 
 @contextmanager
 def request(request_id: str) -> Iterator[None]:
-    """All that is logged inside carries the request's id."""
+    """Adds the request's id to every record logged inside."""
     token = _request.set(request_id)
     try:
         yield
@@ -34,11 +35,11 @@
 
     def format(self, record: logging.LogRecord) -> str:
         text = super().format(record)
-        named = [f"{name}={getattr(record, name)}" for name in APPENDED if hasattr(record, name)]
-        return f"{text} [{' '.join(named)}]" if named else text
+        appended = [f"{name}={getattr(record, name)}" for name in APPENDED if hasattr(record, name)]
+        return f"{text} [{' '.join(appended)}]" if appended else text
 
 
-class _Requests(logging.Filter):
+class _RequestFilter(logging.Filter):
     def filter(self, record: logging.LogRecord) -> bool:
         if request_id := _request.get():
             record.request = request_id
@@ -46,7 +47,7 @@
 
 
 def formatter(kind: str) -> logging.Formatter:
-    """`json` or text. The JSON library is loaded only where it is asked for."""
+    """The formatter for `json`, else for text. The JSON library is imported only when needed."""
     if kind != "json":
         return TextFormatter()
     from pythonjsonlogger.json import JsonFormatter
@@ -59,9 +60,9 @@
 
 
 def setup() -> None:
-    """Logs to standard error, as LOG_LEVEL and LOG_FORMAT say."""
+    """Configures logging to standard error from LOG_LEVEL and LOG_FORMAT."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(formatter(os.environ.get("LOG_FORMAT", "text").lower()))
-    handler.addFilter(_Requests())
+    handler.addFilter(_RequestFilter())
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(level=level, handlers=[handler])
--- a/pulleydeal/operators/__init__.py
+++ b/pulleydeal/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' interface: what runs here, on a listener of its own."""
+"""The operators' HTTP interface, on its own listener."""
--- a/pulleydeal/operators/client.py
+++ b/pulleydeal/operators/client.py
@@ -1,4 +1,4 @@
-"""What commands share that speak to the operators' interface: requests, pages, tables."""
+"""Shared by commands that call the operators' interface: requests, paging and table output."""
 
 import http.client
 import json
@@ -13,36 +13,36 @@
 
 
 class Failed(Exception):
-    """A request that was refused or not answered; the text says why."""
+    """A request was refused or got no answer; the message says why."""
 
 
 def ask(address: str, method: str, path: str, body: bytes = b"", timeout: float = 10.0) -> Any:
-    """The answer, decoded. Raises Failed with the sentence that came, or why none did."""
+    """Returns the decoded answer. Raises Failed with the server's or the connection's error."""
     try:
         host, port = split_address(address)
         connection = http.client.HTTPConnection(host, port, timeout=timeout)
         connection.request(method, path, body)
         response = connection.getresponse()
         raw = response.read()
-        found = json.loads(raw)
+        reply = json.loads(raw)
     except (OSError, ValueError, RecursionError, http.client.HTTPException) as error:
         raise Failed(f"{address}: {error}") from error
     if response.status != 200:
-        told = found.get("error", {}) if isinstance(found, dict) else {}
-        raise Failed(told.get("message", f"{response.status} {raw[:200]!r}"))
-    return found
+        error_body = reply.get("error", {}) if isinstance(reply, dict) else {}
+        raise Failed(error_body.get("message", f"{response.status} {raw[:200]!r}"))
+    return reply
 
 
 class Faulty(Protocol):
-    """An error that has a line for each fault, with its place."""
+    """An exception that carries one line per fault, each with its position."""
 
     faults: list[str]
 
 
-def exit_code(work: Callable[[], int], faulty: type[Exception]) -> int:
-    """What a command ends with: its own code, 2 for faults in what was given, 1 if refused."""
+def exit_code(command: Callable[[], int], faulty: type[Exception]) -> int:
+    """Runs a command. Returns its own exit code, 2 for invalid input, 1 for a failed request."""
     try:
-        return work()
+        return command()
     except faulty as error:
         lines, code = cast(Faulty, error).faults, 2
     except Failed as error:
@@ -53,24 +53,24 @@
 
 
 def everything(address: str, path: str) -> list[dict[str, Any]]:
-    """All pages of a list."""
+    """Fetches all pages of a list."""
     items: list[dict[str, Any]] = []
     after = ""
     while True:
-        found = ask(address, "GET", f"{path}?limit=500" + (f"&after={after}" if after else ""))
-        items += found["items"]
-        if found["next"] is None:
+        reply = ask(address, "GET", f"{path}?limit=500" + (f"&after={after}" if after else ""))
+        items += reply["items"]
+        if reply["next"] is None:
             return items
-        after = found["next"]
+        after = reply["next"]
 
 
-def show_json(found: Any) -> int:
-    print(json.dumps(found, indent=2))
+def show_json(value: Any) -> int:
+    print(json.dumps(value, indent=2))
     return 0
 
 
 def rows(title: str, names: list[str], lines: list[list[str]]) -> None:
-    """A table on the terminal; plain columns where `rich` is not installed."""
+    """Prints a table; uses plain columns if `rich` is not installed."""
     try:
         from rich.console import Console
         from rich.table import Table
@@ -83,10 +83,10 @@
     Console().print(table(Table, title, names, lines))
 
 
-def table(kind: Any, title: str, names: list[str], lines: list[list[str]]) -> Any:
-    made = kind(title=title, title_justify="left")
+def table(table_class: Any, title: str, names: list[str], lines: list[list[str]]) -> Any:
+    result = table_class(title=title, title_justify="left")
     for name in names:
-        made.add_column(name)
+        result.add_column(name)
     for line in lines:
-        made.add_row(*line)
-    return made
+        result.add_row(*line)
+    return result
--- a/pulleydeal/operators/constants.py
+++ b/pulleydeal/operators/constants.py
@@ -1,3 +1,3 @@
 """Constants of the operators' interface, each with its unit and reason."""
 
-CONNECTIONS = 32  # a handful of operators and their scripts; bounds what they can hold
+CONNECTIONS = 32  # enough for a few operators and scripts; bounds the sockets they can hold
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -1,4 +1,4 @@
-"""Answers operators on a listener of their own; loopback only, as it does not know who asks."""
+"""Serves the operators' interface; on loopback only, as it does not authenticate callers."""
 
 import itertools
 import logging
@@ -22,18 +22,20 @@
 
 
 class Operators:
+    """The operators' interface: serves the routes of all enabled features."""
+
     def __init__(
         self, features: Features, node: Service, routes: Callable[[], list[Route]]
     ) -> None:
         assert features.operators is not None
         self._listen = features.operators.listen
-        self._on = features.on()
+        self._enabled = features.on()
         self._service = node
         self._replica = node.replica
-        self._all_routes = routes
+        self._collect_routes = routes
         self._table = Table()
-        self._start_id = secrets.token_hex(3)
-        self._serial = itertools.count(1)
+        self._run_id = secrets.token_hex(3)
+        self._request_numbers = itertools.count(1)
         self._server = Server(self.handle, oc.CONNECTIONS)
 
     def loops(self) -> dict[str, Step]:
@@ -43,24 +45,31 @@
         return {}
 
     def routes(self) -> list[Route]:
-        paged = ("after", "limit")
+        paging = ("after", "limit")
         return [
             Route("GET", "/v1", "all that can be asked here", self._index),
             Route("GET", "/v1/node", "this node, its view and its features", self._node),
-            Route("GET", "/v1/jobs", "jobs in the order of ids", self._jobs, (*paged, "state")),
+            Route("GET", "/v1/jobs", "jobs in the order of ids", self._jobs, (*paging, "state")),
             Route("GET", "/v1/jobs/{job}", "a job with its tasks' places", self._job),
-            Route("GET", "/v1/jobs/{job}/description", "as its user would submit it", self._words),
-            Route("GET", "/v1/machines", "machines with what is bound", self._machines, paged),
+            Route(
+                "GET",
+                "/v1/jobs/{job}/description",
+                "as its user would submit it",
+                self._description,
+            ),
+            Route("GET", "/v1/machines", "machines with what is bound", self._machines, paging),
             Route("GET", "/v1/teams", "teams, limits and what they use", self._teams),
         ]
 
     async def start(self) -> None:
-        self._table = Table(self._all_routes())
+        self._table = Table(self._collect_routes())
         await self._server.start(self._listen)
-        log.info("operators are answered on %s", self._listen, extra={"feature": "operators"})
+        log.info(
+            "operators' interface listening on %s", self._listen, extra={"feature": "operators"}
+        )
 
     async def handle(self, request: Request) -> Response:
-        request_id = f"{self._start_id}-{next(self._serial)}"
+        request_id = f"{self._run_id}-{next(self._request_numbers)}"
         with logs.request(request_id):
             try:
                 route, asked = self._table.find(
@@ -73,7 +82,7 @@
         reply.headers.append(("X-Request-Id", request_id))
         return reply
 
-    # --- what every node can tell -----------------------------------------------------------
+    # --- routes that every node serves ------------------------------------------------------
     async def _index(self, asked: Asked) -> Any:
         return {
             "routes": [
@@ -82,7 +91,7 @@
             ]
         }
 
-    def _need_replica(self) -> None:
+    def _require_replica(self) -> None:
         if not self._replica.loaded:
             raise Problem(503, "not_ready", "the state is still being read", 1)
 
@@ -96,7 +105,7 @@
             "members": sorted(membership.view.members),
             "cut": membership.view.cut,
             "revision": self._replica.revision,
-            "features": self._on,
+            "features": self._enabled,
             "shown": {
                 node: {"format": format_, "features": self._replica.shown.get(node, {})}
                 for node, format_ in sorted(self._replica.software.items())
@@ -104,15 +113,15 @@
         }
 
     async def _jobs(self, asked: Asked) -> Any:
-        self._need_replica()
+        self._require_replica()
         state = asked.choice("state", STATES, "open")
         jobs = self._replica.jobs
-        names = self._replica.open_jobs if state == "open" else jobs
-        kept = (n for n in names if state == "all" or _status(jobs[n]) == state)
-        return page(asked, kept, lambda name: _summary(jobs[name]))
+        candidates = self._replica.open_jobs if state == "open" else jobs
+        names = (n for n in candidates if state == "all" or _status(jobs[n]) == state)
+        return page(asked, names, lambda name: _summary(jobs[name]))
 
     async def _job(self, asked: Asked) -> Any:
-        self._need_replica()
+        self._require_replica()
         job = self._replica.jobs.get(asked.params["job"])
         if job is None or job.record is None:
             raise Problem(404, "no_such_job", f"no job {asked.params['job']!r} is known here")
@@ -123,15 +132,15 @@
         last = {"last_stop": shown(job.last_stop)} if job.last_stop else {}
         return _summary(job) | {"bound": tasks} | last
 
-    async def _words(self, asked: Asked) -> Any:
-        self._need_replica()
+    async def _description(self, asked: Asked) -> Any:
+        self._require_replica()
         job = self._replica.jobs.get(asked.params["job"])
         if job is None or job.spec is None:
             raise Problem(404, "no_such_job", f"no open job {asked.params['job']!r} is known here")
         return described(job.spec)
 
     async def _machines(self, asked: Asked) -> Any:
-        self._need_replica()
+        self._require_replica()
         return page(asked, self._replica.machines, self._machine)
 
     def _machine(self, name: str) -> dict[str, Any]:
@@ -148,14 +157,14 @@
         }
 
     async def _teams(self, asked: Asked) -> Any:
-        self._need_replica()
-        used = self._replica.usage()
+        self._require_replica()
+        usage = self._replica.usage()
         return {
             "items": [
                 {
                     "team": team.name,
-                    "cpus": used.get(team.name, (0.0, 0.0))[0],
-                    "gpus": used.get(team.name, (0.0, 0.0))[1],
+                    "cpus": usage.get(team.name, (0.0, 0.0))[0],
+                    "gpus": usage.get(team.name, (0.0, 0.0))[1],
                     "guaranteed": {"cpus": team.cpus, "gpus": team.gpus},
                     "most": {"cpus": team.cpus_max, "gpus": team.gpus_max},
                 }
@@ -172,8 +181,8 @@
 
 def _summary(job: Job) -> dict[str, Any]:
     assert job.record is not None
-    found = {"job": job.id, "state": _status(job), "tasks": job.record.tasks}
+    summary = {"job": job.id, "state": _status(job), "tasks": job.record.tasks}
     if job.spec is not None:
-        found |= {"class": job.spec.klass, "team": job.spec.team, "kind": job.spec.kind}
-        found |= {"done": job.done, "running": job.bound}
-    return found
+        summary |= {"class": job.spec.klass, "team": job.spec.team, "kind": job.spec.kind}
+        summary |= {"done": job.done, "running": job.bound}
+    return summary
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""features.toml, what is loaded for it, the operators' interface, features' records, logs."""
+"""features.toml, lazy imports of features, the operators' interface, feature records, logs."""
 
 import asyncio
 import io
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("[operators]\nlisten = '127.0.0.1:9000'\n[cron]", "at the top: .*unknown field `cron`"),
         ("[operators]", "operators: .*missing required field `listen`"),
@@ -44,15 +44,15 @@
         ("a = " + "[" * 5000, "features.toml: "),
     ],
 )
-def test_a_fault_is_told_with_its_place(tmp_path: Path, text: str, told: str) -> None:
+def test_a_fault_is_reported_with_its_position(tmp_path: Path, text: str, expected: str) -> None:
     path = tmp_path / "features.toml"
     path.write_text(text)
-    with pytest.raises(FeaturesError, match=f"features.toml: .*{told}|{told}"):
+    with pytest.raises(FeaturesError, match=f"features.toml: .*{expected}|{expected}"):
         load(path)
     assert main(["check", "--config", str(SETTINGS), "--features", str(path)]) == 2
 
 
-def test_without_a_file_or_a_section_all_is_off(
+def test_without_a_file_or_a_section_all_features_are_off(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert load(tmp_path / "none.toml") == load(None) == Features()
@@ -63,10 +63,10 @@
     assert load(path).on() == ["operators"]
     assert main(["check", "--config", str(SETTINGS), "--features", str(path)]) == 0
     assert "switched on: operators" in capsys.readouterr().out
-    assert load(ROOT / "deploy" / "features.toml").on() == ["zones"]  # as the platform runs it
+    assert load(ROOT / "deploy" / "features.toml").on() == ["zones"]  # the deployed configuration
 
 
-def test_what_is_off_is_not_imported() -> None:
+def test_disabled_features_are_not_imported() -> None:
     code = (
         "import sys; from pulleydeal.app import App; import pulleydeal.cli;"
         "print([m for m in sys.modules if m.startswith(('pulleydeal.operators',"
@@ -83,20 +83,20 @@
     return table.find(method, target, b"", "r-1")
 
 
-async def _nothing(asked: Asked) -> Any:
+async def _echo_params(asked: Asked) -> Any:
     return asked.params
 
 
 TABLE = Table(
     [
-        Route("GET", "/v1/jobs", "", _nothing, ("limit",)),
-        Route("GET", "/v1/jobs/{job}", "", _nothing),
-        Route("POST", "/v1/jobs/{job}/stop", "", _nothing),
+        Route("GET", "/v1/jobs", "", _echo_params, ("limit",)),
+        Route("GET", "/v1/jobs/{job}", "", _echo_params),
+        Route("POST", "/v1/jobs/{job}/stop", "", _echo_params),
     ]
 )
 
 
-def test_routes_are_found_by_path_and_method_and_other_queries_are_refused() -> None:
+def test_routes_match_path_and_method_and_reject_unknown_query_parameters() -> None:
     assert get(TABLE, "/v1/jobs/j%2D7")[1].params == {"job": "j-7"}
     for target, method, status in [
         ("/v1/none", "GET", 404),
@@ -108,7 +108,7 @@
         assert caught.value.status == status and caught.value.message
 
 
-def test_pages_are_bounded_and_lead_to_all_items_once() -> None:
+def test_pages_are_bounded_and_cover_every_item_once() -> None:
     names = [f"n-{i:04d}" for i in range(750)]
     seen: list[str] = []
     after = ""
@@ -125,8 +125,8 @@
             page(Asked({}, {"limit": bad}, b"", ""), names, str)
 
 
-def app(features: Features) -> App:
-    """A node that was never started, with one job and one machine in its replica."""
+def make_app(features: Features) -> App:
+    """A node that is not running, with two jobs and one machine in its replica."""
     scenario = Scenario.__new__(Scenario)
     scenario._nodes = {f"winch-{i}": f"10.0.0.{i + 1}" for i in range(3)}
     node = App(scenario._settings("winch-0"), _Clock(), random.Random(1), None, features)
@@ -151,13 +151,13 @@
 def ask(node: App, path: str) -> tuple[int, Any, dict[str, str]]:
     feature = node.features[0]
     assert isinstance(feature, Operators)
-    feature._table = Table(feature._all_routes())
+    feature._table = Table(feature._collect_routes())
     reply = asyncio.run(feature.handle(Request("GET", path, b"")))
     return reply.status, json.loads(reply.body), dict(reply.headers)
 
 
-def test_operators_are_shown_jobs_machines_teams_and_the_node() -> None:
-    node = app(Features(OperatorsSettings("127.0.0.1:9000")))
+def test_operators_can_list_jobs_machines_teams_and_the_node() -> None:
+    node = make_app(Features(OperatorsSettings("127.0.0.1:9000")))
     status, body, _ = ask(node, "/v1/jobs")
     assert status == 503 and body["error"]["code"] == "not_ready"
     node.replica.end_load(5)
@@ -182,8 +182,8 @@
 
 
 # --- records of features ---------------------------------------------------------------------
-def test_records_count_only_when_every_node_has_the_feature_on() -> None:
-    node = app(Features())
+def test_records_are_ready_only_when_every_node_has_the_feature_on() -> None:
+    node = make_app(Features())
     records = Records("trial", 2, node.membership, node.store)
     replica = node.replica
 
@@ -200,39 +200,39 @@
     for version, name in enumerate(("winch-0", "winch-1"), 10):
         put(r.software_key(name), r.Software(2, "0.3.0", {"trial": 2}), version)
     put(r.software_key("winch-2"), r.Software(2, "0.3.0"), 12)
-    assert not records.ready  # winch-2 has it off
+    assert not records.ready  # winch-2 has the feature off
     put(r.software_key("winch-2"), r.Software(2, "0.3.0", {"trial": 1}), 13)
-    assert not records.ready  # and now an older format of it
+    assert not records.ready  # winch-2 has an older record format
     put(r.software_key("winch-2"), r.Software(2, "0.3.0", {"trial": 2}), 14)
     assert records.ready
     put(r.software_key("winch-2"), r.Software(1, "0.2.0"), 15)
-    assert not records.ready  # put back to an older version
+    assert not records.ready  # winch-2 was downgraded to an older version
 
 
-def test_a_commit_of_records_stands_on_the_view_and_on_what_it_read() -> None:
-    node = app(Features())
+def test_a_commit_of_records_is_conditional_on_the_view_and_the_records_read() -> None:
+    node = make_app(Features())
     records = Records("trial", 1, node.membership, node.store)
-    asked: list[tuple[dict[str, int], list[str]]] = []
+    commits: list[tuple[dict[str, int], list[str]]] = []
 
     async def commit(
         conditions: dict[str, int], puts: dict[str, object], drops: list[str], turn: object
     ) -> bool:
-        asked.append((conditions, [*puts, *drops]))
+        commits.append((conditions, [*puts, *drops]))
         return True
 
     node.store.commit = commit  # type: ignore[method-assign, assignment]
     done = records.commit({"a": 3, "b": 0}, {"a": 1}, ["b"], {"p/j/j-1": 1}, {"p/j/j-1": 0})
     assert asyncio.run(done)
     conditions = {r.VIEW: 0, "p/f/trial/a": 3, "p/f/trial/b": 0, "p/j/j-1": 0}
-    assert asked == [(conditions, ["p/f/trial/a", "p/j/j-1", "p/f/trial/b"])]
+    assert commits == [(conditions, ["p/f/trial/a", "p/j/j-1", "p/f/trial/b"])]
 
 
 # --- logs ------------------------------------------------------------------------------------
-def logged(kind: str) -> str:
+def log_output(kind: str) -> str:
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
     handler.setFormatter(logs.formatter(kind))
-    handler.addFilter(logs._Requests())
+    handler.addFilter(logs._RequestFilter())
     log = logging.Logger("pulleydeal.trial")
     log.addHandler(handler)
     with logs.request("ab-1"):
@@ -240,9 +240,9 @@
     return stream.getvalue().strip()
 
 
-def test_the_same_fields_as_text_and_as_json() -> None:
-    assert logged("text") == "INFO pulleydeal.trial: run j-1/3 on vm-1 [request=ab-1]"
-    found = json.loads(logged("json"))
+def test_text_and_json_logs_carry_the_same_fields() -> None:
+    assert log_output("text") == "INFO pulleydeal.trial: run j-1/3 on vm-1 [request=ab-1]"
+    found = json.loads(log_output("json"))
     assert found.pop("time")
     assert found == {
         "level": "INFO",
