--- a/pulleydeal/policy/__init__.py
+++ b/pulleydeal/policy/__init__.py
@@ -1,1 +1,1 @@
-"""What operators decide beyond the platform's file: checked expressions, never code."""
+"""Operator-defined policy: statically checked expressions, never executable code."""
--- a/pulleydeal/policy/settings.py
+++ b/pulleydeal/policy/settings.py
@@ -1,7 +1,8 @@
-"""The operators' file: `name = expression` a line, checked as a whole before anything runs.
+"""The operators' policy file: one `name = expression` per line, checked as a whole before use.
 
-No setting touches a safety rule: they say what is rented, how long it stays, and who goes first
-among equals. Whatever an expression does at run time, its result is held to the setting's range.
+No setting affects a safety rule: they determine what is rented, how long it is kept, and the order
+among jobs of equal rank. At run time a failing expression, or a result outside the setting's range, is
+replaced by the default.
 """
 
 import logging
@@ -41,13 +42,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Setting:
-    """What may be decided: its unit, its range, what it may depend on, and the default."""
+    """A configurable value: its unit, allowed range, available variables and default."""
 
     unit: str
     least: float
     most: float
     variables: Mapping[str, str]
-    default: float | None  # None: what the design does by itself
+    default: float | None  # None: the built-in behaviour
 
 
 SETTINGS = {
@@ -59,19 +60,22 @@
 
 
 class PolicyError(Exception):
-    """The file can't be used; the text has all faults, each with line and column."""
+    """The file is invalid; the message lists all faults, each with line and column."""
 
 
 class Policy:
+    """The expressions that the operators set; every other setting has its default."""
+
     def __init__(self, expressions: Mapping[str, Typed] | None = None) -> None:
         self._expressions = dict(expressions or {})
-        self._complained: set[str] = set()
+        self._reported: set[str] = set()
 
     def decides(self, name: str) -> bool:
+        """Whether the operators set an expression for this setting."""
         return name in self._expressions
 
     def value(self, name: str, given: Mapping[str, Value]) -> float:
-        """What the expression gives, or the default when it gives nothing usable."""
+        """The expression's result, or the default if there is none or it is unusable."""
         setting = SETTINGS[name]
         fallback = setting.default if setting.default is not None else 0.0
         expression = self._expressions.get(name)
@@ -82,42 +86,42 @@
         except (ArithmeticError, ValueError) as error:
             return self._fall_back(name, f"fails: {error}", fallback)
         if not setting.least <= result <= setting.most:
-            wrong = f"gives {result:g}, outside {setting.least:g} to {setting.most:g}"
-            return self._fall_back(name, wrong, fallback)
+            reason = f"gives {result:g}, outside {setting.least:g} to {setting.most:g}"
+            return self._fall_back(name, reason, fallback)
         return result
 
-    def _fall_back(self, name: str, wrong: str, fallback: float) -> float:
-        if name not in self._complained:
-            self._complained.add(name)
-            log.error("setting %s %s: %g is used instead", name, wrong, fallback)
+    def _fall_back(self, name: str, reason: str, fallback: float) -> float:
+        if name not in self._reported:
+            self._reported.add(name)
+            log.error("setting %s %s; using %g instead", name, reason, fallback)
         return fallback
 
 
 def check(text: str) -> tuple[Policy, list[str]]:
-    """The policy and its faults, as `line:column: what is wrong`."""
-    found: dict[str, Typed] = {}
+    """Parses a policy text. Returns the policy and its faults, as `line:column: reason`."""
+    expressions: dict[str, Typed] = {}
     faults: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         code = line.partition("#")[0]
         if not code.strip():
             continue
-        name, sign, expression = code.partition("=")
-        if not sign or not name.strip().isidentifier():
+        name, equals, expression = code.partition("=")
+        if not equals or not name.strip().isidentifier():
             faults.append(f"{number}:1: not `name = expression`")
             continue
         name = name.strip()
         if name not in SETTINGS:
             faults.append(f"{number}:1: nothing uses {name!r}; there are {', '.join(SETTINGS)}")
             continue
-        if name in found:
+        if name in expressions:
             faults.append(f"{number}:1: {name} is set twice")
             continue
         indent = len(code) - len(expression.lstrip())
         try:
-            found[name] = _expression(expression.strip(), SETTINGS[name])
+            expressions[name] = _expression(expression.strip(), SETTINGS[name])
         except ExpressionError as error:
             faults.append(f"{number}:{indent + error.column}: {error}")
-    return Policy(found), faults
+    return Policy(expressions), faults
 
 
 def _expression(text: str, setting: Setting) -> Typed:
@@ -130,13 +134,13 @@
         except ArithmeticError as error:
             raise ExpressionError(1, f"fails: {error}") from error
         if not setting.least <= result <= setting.most:
-            wrong = f"{result:g} is outside {setting.least:g} to {setting.most:g}"
-            raise ExpressionError(1, wrong)
+            reason = f"{result:g} is outside {setting.least:g} to {setting.most:g}"
+            raise ExpressionError(1, reason)
     return typed
 
 
 def load(path: Path) -> Policy:
-    """The operators' file; one that is not there means the defaults."""
+    """Loads the operators' file; a missing file means the defaults. Raises PolicyError."""
     try:
         text = path.read_text()
     except FileNotFoundError:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' expressions: what the checker finds, and what happens when one fails."""
+"""Policy expressions: evaluation, static checks, and the fallback when one fails at run time."""
 
 import logging
 from pathlib import Path
@@ -19,7 +19,7 @@
     return policy.value(line.partition("=")[0].strip(), given)  # type: ignore[arg-type]
 
 
-def test_expressions_decide() -> None:
+def test_expressions_determine_values() -> None:
     assert value("idle_stay_s = 90", **MACHINE) == 90.0
     assert value("idle_stay_s = 2 * boot_s if not spot else 20", **MACHINE) == 20.0
     assert value("idle_stay_s = max(20, boot_s - 10) if zone == 'east' else 30", **MACHINE) == 35.0
@@ -36,18 +36,18 @@
     [
         ("idle_stay_s = boots", "1:15: unknown name 'boots'"),
         ("idle_stay_s = 40 if spot else  price", "1:15: is money, where seconds"),
-        ("idle_stay_s = boot_s + price", "1:15: money and seconds don't go together"),
+        ("idle_stay_s = boot_s + price", "1:15: money and seconds can't be combined"),
         ("idle_stay_s = machines", "1:15: is a number, where seconds is needed"),
         ("idle_stay_s = 2", "1:15: 2 is outside 5 to 3600"),
         ("idle_stay_s = 1 / 0", "1:15: fails"),
-        ("idle_stay_s = boot_s * boot_s", "1:15: no unit stands"),
+        ("idle_stay_s = boot_s * boot_s", "1:15: no unit is defined"),
         ("idle_stay_s = zone < 'b'", "1:15: a name has no order"),
         ("idle_stay_s = spot", "1:15: is yes or no"),
-        ("idle_stay_s = boot_s ** 2", "1:15: of operators"),
+        ("idle_stay_s = boot_s ** 2", "1:15: of arithmetic operators, only"),
         ("idle_stay_s = boot_s.real", "1:15: attribute is not part"),
         ("idle_stay_s = [boot_s][0]", "1:15: subscript is not part"),
-        ("idle_stay_s = (lambda: 9)()", "1:15: of calls there are only"),
-        ("idle_stay_s = open('x')", "1:15: of calls there are only"),
+        ("idle_stay_s = (lambda: 9)()", "1:15: the only supported calls are"),
+        ("idle_stay_s = open('x')", "1:15: the only supported calls are"),
         ("idle_stay_s = 40 +", "not an expression"),
         ("idle_stay_s = 1e300", "1:15: neither a number"),
         ("idle_stay_s = " + "-" * (c.EXPRESSION_DEPTH + 1) + "40", "nested deeper"),
@@ -57,12 +57,12 @@
         ("spare_machines: 1", "1:1: not `name = expression`"),
     ],
 )
-def test_the_checker_names_line_column_and_fault(line: str, fault: str) -> None:
+def test_the_checker_reports_line_column_and_fault(line: str, fault: str) -> None:
     _, faults = check(line)
     assert len(faults) == 1 and (fault in faults[0])
 
 
-def test_a_failing_expression_falls_back_and_says_so_once(
+def test_a_failing_expression_uses_the_default_and_is_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     policy, faults = check("idle_stay_s = boot_s / (machines - 10)\nspare_machines = machines * 9")
@@ -74,7 +74,7 @@
     assert len(caplog.records) == 2
 
 
-def test_no_file_means_the_defaults_and_a_bad_one_stops_the_start(
+def test_a_missing_file_means_the_defaults_and_an_invalid_one_is_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     policy = load(tmp_path / "none.txt")
@@ -83,9 +83,9 @@
         for name, s in SETTINGS.items()
     )
     assert isinstance(policy, Policy)
-    bad = tmp_path / "policy.txt"
-    bad.write_text("# ours\nidle_stay_s = 9 9\nspare_machines = machines / 2\n")
-    assert main(["policy", str(bad)]) == 2
-    assert f"{bad}:2:" in capsys.readouterr().err
-    bad.write_text("idle_stay_s = 99\n")
-    assert main(["policy", str(bad)]) == 0
+    path = tmp_path / "policy.txt"
+    path.write_text("# ours\nidle_stay_s = 9 9\nspare_machines = machines / 2\n")
+    assert main(["policy", str(path)]) == 2
+    assert f"{path}:2:" in capsys.readouterr().err
+    path.write_text("idle_stay_s = 99\n")
+    assert main(["policy", str(path)]) == 0
