--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -10,7 +10,7 @@
 from pulleydeal.credits.service import Credits
 from pulleydeal.features.context import FeatureContext, Service, Step
 from pulleydeal.features.settings import Features
-from pulleydeal.features.switch import keeping, switched_on
+from pulleydeal.features.switch import create_features, create_lease_policy
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
 from pulleydeal.fleet.types import Types
@@ -64,7 +64,7 @@
         context = FeatureContext(
             self.membership, self.siblings, self.store, clock, self.metrics, deployment, stations
         )
-        lease_policy, early_features = keeping(features, context)
+        lease_policy, early_features = create_lease_policy(features, context)
         self.workers = Workers(
             self.membership,
             self.store,
@@ -154,7 +154,7 @@
             self.placement.reason,
             self.journal,
         )
-        self.features = switched_on(features, service, early_features)
+        self.features = create_features(features, service, early_features)
         self._paths = {
             segment: h for feature in self.features for segment, h in feature.paths().items()
         }
@@ -182,8 +182,8 @@
         self.metrics.epoch.set(self.membership.epoch)
         self.metrics.store_requests.set(self.client.requests)
         self.metrics.store_refusals.set(self.client.refusals)
-        self.metrics.strangers.set(self.siblings.strangers)
-        self.metrics.loop_late.set(self.lateness.late_s)
+        self.metrics.rejected_connections.set(self.siblings.strangers)
+        self.metrics.loop_lateness.set(self.lateness.late_s)
         self.metrics.checkin_age.set(self.workers.oldest_report_s())
         return self.metrics.text()
 
--- a/pulleydeal/cli.py
+++ b/pulleydeal/cli.py
@@ -81,7 +81,7 @@
             print(f"pulleydeal: {error}", file=sys.stderr)
             return 2
         if options.command == "check":
-            on = ", ".join(features.on()) or "nothing"
+            on = ", ".join(features.enabled()) or "nothing"
             print(f"{options.config}: good; switched on: {on}")
             return 0
         return serve(settings, policy, features)
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -65,22 +65,22 @@
 
     async def commit(
         self,
-        read: dict[str, int],
+        read_versions: dict[str, int],
         puts: dict[str, object],
-        drops: list[str] | None = None,
-        also: dict[str, object] | None = None,
-        also_read: dict[str, int] | None = None,
+        deletes: list[str] | None = None,
+        other_puts: dict[str, object] | None = None,
+        other_versions: dict[str, int] | None = None,
         turn: Turn = Turn.WORK,
     ) -> bool:
-        """Commits one transaction: own records by name, others (`also`, such as a job's) by key.
+        """Commits one transaction: own records by name, `other_puts` (such as a job's) by key.
 
         Returns True once it is applied and visible in the replica, False if the view or a version
         had changed and nothing was written. Raises the same errors as `Store.commit`.
         """
         conditions = {r.VIEW: self._store.replica.view_version}
-        conditions |= {self.key(name): version for name, version in read.items()}
-        conditions |= also_read or {}
+        conditions |= {self.key(name): version for name, version in read_versions.items()}
+        conditions |= other_versions or {}
         written: dict[str, Any] = {self.key(name): value for name, value in puts.items()}
-        written |= also or {}
-        deletes = [self.key(name) for name in drops or []]
-        return await self._store.commit(conditions, written, deletes, turn=turn)
+        written |= other_puts or {}
+        deleted_keys = [self.key(name) for name in deletes or []]
+        return await self._store.commit(conditions, written, deleted_keys, turn=turn)
--- a/pulleydeal/features/routes.py
+++ b/pulleydeal/features/routes.py
@@ -57,7 +57,7 @@
 class Route:
     method: str
     pattern: str  # as "/v1/jobs/{job}": a name in braces matches one segment
-    does: str  # one line, shown to operators
+    summary: str  # one line, shown to operators
     handler: Handler
     query: tuple[str, ...] = ()  # accepted query parameters; others are rejected
 
@@ -106,7 +106,7 @@
 
     `next` is the value of `after` for the following page, or None.
     """
-    limit = asked.count("limit", fc.PAGE, fc.PAGE_MOST)
+    limit = asked.count("limit", fc.DEFAULT_PAGE_SIZE, fc.MAX_PAGE_SIZE)
     after = asked.query.get("after", "")
     selected = heapq.nsmallest(limit + 1, (name for name in names if name > after))
     has_more = len(selected) > limit
--- a/pulleydeal/features/settings.py
+++ b/pulleydeal/features/settings.py
@@ -42,7 +42,7 @@
     zones: ZonesSettings | None = None
     journal: JournalSettings | None = None
 
-    def on(self) -> list[str]:
+    def enabled(self) -> list[str]:
         """The names of the enabled features."""
         return [name for name in self.__struct_fields__ if getattr(self, name) is not None]
 
--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -5,7 +5,9 @@
 from pulleydeal.workers.keeping import Keeping
 
 
-def keeping(features: Features, context: FeatureContext) -> tuple[Keeping, list[Feature]]:
+def create_lease_policy(
+    features: Features, context: FeatureContext
+) -> tuple[Keeping, list[Feature]]:
     """The policy for renewing leases and for reporting cancellations, and the feature that provides
     it, if enabled."""
     if features.zones is None:
@@ -16,23 +18,23 @@
     return zones, [zones]
 
 
-def switched_on(features: Features, service: Service, found: list[Feature]) -> list[Feature]:
-    """All enabled features in start order, beginning with those already in `found`."""
+def create_features(features: Features, service: Service, created: list[Feature]) -> list[Feature]:
+    """All enabled features in start order, beginning with those already in `created`."""
     if features.journal is not None:
         from pulleydeal.journal.feature import JournalFeature
 
-        found.append(JournalFeature(service, service.journal))
+        created.append(JournalFeature(service, service.journal))
     if features.operators is not None:
         from pulleydeal.operators.service import Operators
 
-        operators = Operators(features, service, lambda: [x for f in found for x in f.routes()])
-        found.append(operators)
+        operators = Operators(features, service, lambda: [x for f in created for x in f.routes()])
+        created.append(operators)
     if features.rollouts is not None:
         from pulleydeal.rollouts.service import Rollouts
 
-        found.append(Rollouts(service))
+        created.append(Rollouts(service))
     if features.recurring is not None:
         from pulleydeal.recurring.service import Recurring
 
-        found.append(Recurring(service))
-    return found
+        created.append(Recurring(service))
+    return created
--- a/pulleydeal/http.py
+++ b/pulleydeal/http.py
@@ -80,10 +80,10 @@
         self._handler = handler
         self._crowd_at_once = crowd_at_once
         self._limit = limit
-        self._crowd = crowd
-        self._crowd_limit = int(limit * c.CROWD_SHARE)
+        self._throttled_prefix = crowd
+        self._throttled_limit = int(limit * c.CROWD_SHARE)
         self._open = 0
-        self._crowd_open = 0
+        self._throttled_open = 0
         self._crowd_busy = 0
         self._server: asyncio.Server | None = None
 
@@ -97,17 +97,17 @@
 
     async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open += 1
-        crowd = False
+        throttled = False
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=c.MAX_HEADER_B)
         try:
             if self._open > self._limit:
                 await _send(conn, writer, answer(503, retry_after=c.RETRY_AFTER_S), close=True)
                 return
             while (request := await self._next(conn, reader, writer)) is not None:
-                if not crowd and self._in_crowd(request):
-                    crowd = True
-                    self._crowd_open += 1
-                    if self._crowd_open > self._crowd_limit:
+                if not throttled and self._is_throttled(request):
+                    throttled = True
+                    self._throttled_open += 1
+                    if self._throttled_open > self._throttled_limit:
                         reply = answer(503, {"error": "too many"}, c.RETRY_AFTER_S)
                         await _send(conn, writer, reply, close=True)
                         return
@@ -119,12 +119,12 @@
             pass  # also cancellation at shutdown, for which asyncio would print tracebacks
         finally:
             self._open -= 1
-            self._crowd_open -= crowd
+            self._throttled_open -= throttled
             with contextlib.suppress(OSError):
                 writer.close()
 
-    def _in_crowd(self, request: Request) -> bool:
-        return bool(self._crowd) and request.path.startswith(self._crowd)
+    def _is_throttled(self, request: Request) -> bool:
+        return bool(self._throttled_prefix) and request.path.startswith(self._throttled_prefix)
 
     async def _next(
         self, conn: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -137,26 +137,26 @@
                 reply = answer(error.error_status_hint, {"error": str(error)})
                 await _send(conn, writer, reply, close=True)
             return None
-        except TooLong:
+        except BodyTooLarge:
             await _send(conn, writer, answer(413, {"error": "body over 64 KiB"}), close=True)
             return None
         return request
 
     async def _respond(self, request: Request) -> Response:
-        crowd = self._in_crowd(request)
-        if crowd and self._crowd_busy >= self._crowd_at_once():
+        throttled = self._is_throttled(request)
+        if throttled and self._crowd_busy >= self._crowd_at_once():
             return answer(503, {"error": "too many at once"}, c.RETRY_AFTER_S)
-        self._crowd_busy += crowd
+        self._crowd_busy += throttled
         try:
             return await self._handler(request)
         except Exception:  # a failed request must not end the connection or the node
             log.exception("request %s %s failed", request.method, request.path)
             return answer(503, {"error": "internal"}, c.RETRY_AFTER_S)
         finally:
-            self._crowd_busy -= crowd
+            self._crowd_busy -= throttled
 
 
-class TooLong(Exception):
+class BodyTooLarge(Exception):
     """A request body exceeds the limit, by its size or by its Content-Length."""
 
 
@@ -177,11 +177,11 @@
         elif isinstance(event, h11.Request):
             head = event
             if _content_length(head) > c.MAX_BODY_B:
-                raise TooLong  # rejected before the body is read
+                raise BodyTooLarge  # rejected before the body is read
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > c.MAX_BODY_B:
-                raise TooLong
+                raise BodyTooLarge
         elif isinstance(event, h11.EndOfMessage) and head is not None:
             return Request(head.method.decode(), head.target.decode("latin-1"), bytes(body))
         else:
--- a/pulleydeal/journal/feature.py
+++ b/pulleydeal/journal/feature.py
@@ -2,7 +2,7 @@
 
 from pulleydeal.features.context import Handler, Service, Step
 from pulleydeal.features.routes import Route
-from pulleydeal.journal.measures import Measures
+from pulleydeal.journal.metrics import JournalMetrics
 from pulleydeal.journal.service import FEATURE, FORMAT, Journal
 
 
@@ -10,9 +10,11 @@
     """Allows new jobs to be journaled. Jobs that already are remain journaled on every node."""
 
     def __init__(self, service: Service, journal: Journal) -> None:
-        journal.is_on = True
+        journal.enabled = True
         service.membership.serves[FEATURE] = FORMAT
-        journal.measures = Measures(service.metrics.registry, lambda: len(service.replica.journals))
+        journal.metrics = JournalMetrics(
+            service.metrics.registry, lambda: len(service.replica.journals)
+        )
 
     def loops(self) -> dict[str, Step]:
         return {}
--- a/pulleydeal/journal/measures.py
+++ b/pulleydeal/journal/metrics.py
@@ -5,7 +5,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
-class Measures:
+class JournalMetrics:
     def __init__(self, registry: CollectorRegistry, count_values: Callable[[], int]) -> None:
         self._facts = Counter(
             "pulleydeal_journal_facts", "Facts of tasks made durable here", registry=registry
--- a/pulleydeal/journal/service.py
+++ b/pulleydeal/journal/service.py
@@ -7,7 +7,7 @@
 from pulleydeal import constants as c
 from pulleydeal.background import take_failure
 from pulleydeal.journal import decide
-from pulleydeal.journal.measures import Measures
+from pulleydeal.journal.metrics import JournalMetrics
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
 from pulleydeal.store.client import LeaseLost, Refused, Unavailable, Unknown
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class PendingAppend:
-    """A job pending for an append; its draft is made only when the append is built."""
+    """A job waiting for an append; its draft is made only when the append is built."""
 
     make_draft: MakeDraft
     turn: Turn
@@ -51,8 +51,8 @@
         self._in_doubt_views: dict[int, set[int]] = {}
         self._next_sequence = 0
         self._rewritten_count = 0
-        self.is_on = False  # whether the operators enabled it on this node
-        self.measures: Measures | None = None
+        self.enabled = False  # whether the operators enabled it on this node
+        self.metrics: JournalMetrics | None = None
 
     @property
     def writer(self) -> str:
@@ -60,7 +60,9 @@
 
     def takes(self, spec: r.JobSpec) -> bool:
         return (
-            self.is_on and decide.is_eligible(spec) and self._membership.all_serve(FEATURE, FORMAT)
+            self.enabled
+            and decide.is_eligible(spec)
+            and self._membership.all_serve(FEATURE, FORMAT)
         )
 
     # --- appending ----------------------------------------------------------------------------
@@ -90,7 +92,7 @@
                 log.debug("journal append got no answer: %s", error)
                 self._in_doubt = True
                 await self._read_back()
-            except Exception:  # a failure must not leave queued jobs pending forever
+            except Exception:  # a failure must not leave queued jobs waiting forever
                 log.exception("journal append failed; retrying after a pause")
                 await self._backoff.pause()
 
@@ -118,8 +120,8 @@
         if written:
             self._in_doubt = False
             self._next_sequence += len(values)
-            if self.measures is not None:
-                self.measures.appended(len(batch.facts), len(values))
+            if self.metrics is not None:
+                self.metrics.appended(len(batch.facts), len(values))
             self._finish(included)
         else:
             self._after_conflict(included)
--- a/pulleydeal/metrics.py
+++ b/pulleydeal/metrics.py
@@ -44,12 +44,12 @@
             "Requests that the state service refused",
             registry=registry,
         )
-        self.strangers = Gauge(
+        self.rejected_connections = Gauge(
             "pulleydeal_back_refused",
             "Connections between controllers ended for what came over them",
             registry=registry,
         )
-        self.loop_late = Gauge(
+        self.loop_lateness = Gauge(
             "pulleydeal_loop_late_seconds",
             "How late the event loop is: above 0.25 the node puts work off",
             registry=registry,
--- a/pulleydeal/operators/client.py
+++ b/pulleydeal/operators/client.py
@@ -33,18 +33,18 @@
     return reply
 
 
-class Faulty(Protocol):
+class HasFaults(Protocol):
     """An exception that carries one line per fault, each with its position."""
 
     faults: list[str]
 
 
-def exit_code(command: Callable[[], int], faulty: type[Exception]) -> int:
+def exit_code(command: Callable[[], int], fault_type: type[Exception]) -> int:
     """Runs a command. Returns its own exit code, 2 for invalid input, 1 for a failed request."""
     try:
         return command()
-    except faulty as error:
-        lines, code = cast(Faulty, error).faults, 2
+    except fault_type as error:
+        lines, code = cast(HasFaults, error).faults, 2
     except Failed as error:
         lines, code = str(error).splitlines(), 1
     for line in lines:
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -29,7 +29,7 @@
     ) -> None:
         assert features.operators is not None
         self._listen = features.operators.listen
-        self._enabled = features.on()
+        self._enabled = features.enabled()
         self._service = node
         self._replica = node.replica
         self._collect_routes = routes
@@ -86,7 +86,7 @@
     async def _index(self, asked: Asked) -> Any:
         return {
             "routes": [
-                {"method": x.method, "path": x.pattern, "query": list(x.query), "does": x.does}
+                {"method": x.method, "path": x.pattern, "query": list(x.query), "does": x.summary}
                 for x in self._table.routes
             ]
         }
@@ -127,7 +127,7 @@
             raise Problem(404, "no_such_job", f"no job {asked.params['job']!r} is known here")
         tasks = [
             {"task": index, "machine": task.machine, "attempt": task.attempt}
-            for index, task in sorted(job.bindings())[: fc.PAGE_MOST]
+            for index, task in sorted(job.bindings())[: fc.MAX_PAGE_SIZE]
         ]
         last = {"last_stop": shown(job.last_stop)} if job.last_stop else {}
         return _summary(job) | {"bound": tasks} | last
--- a/pulleydeal/policy/language.py
+++ b/pulleydeal/policy/language.py
@@ -15,13 +15,13 @@
 from pulleydeal import constants as c
 
 Value = float | bool | str
-Run = Callable[[Mapping[str, Value]], Any]
+Evaluator = Callable[[Mapping[str, Value]], Any]
 
 BOOL, NAME = "yes or no", "a name"
 # Numbers carry a unit. A literal takes the unit of what it is added to or compared with, and is
 # dimensionless in a product.
-PLAIN, ANY, SECONDS, MONEY = "a number", "any number", "seconds", "money"
-_NUMBERS = (PLAIN, ANY, SECONDS, MONEY)
+DIMENSIONLESS, ANY_UNIT, SECONDS, MONEY = "a number", "any number", "seconds", "money"
+_NUMBERS = (DIMENSIONLESS, ANY_UNIT, SECONDS, MONEY)
 
 CALLS: dict[str, Callable[..., float]] = {
     "min": min,
@@ -57,19 +57,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Typed:
-    """A checked expression: its type, and the function that evaluates it."""
+class TypedExpression:
+    """A checked expression: its unit or type, and the function that evaluates it."""
 
     type: str
-    run: Run
-    names: frozenset[str] = frozenset()  # variables that it reads; empty for a constant
+    evaluate: Evaluator
+    variables: frozenset[str] = frozenset()  # variables that it reads; empty for a constant
 
 
 def _error(node: ast.AST, reason: str) -> ExpressionError:
     return ExpressionError(getattr(node, "col_offset", 0) + 1, reason)
 
 
-def parse(text: str, variables: Mapping[str, str]) -> Typed:
+def parse(text: str, variables: Mapping[str, str]) -> TypedExpression:
     """Parses an expression and checks it against the variables' types. Raises ExpressionError."""
     if len(text) > c.EXPRESSION_CHARS:
         raise ExpressionError(1, f"longer than {c.EXPRESSION_CHARS} characters")
@@ -84,10 +84,10 @@
     def __init__(self, variables: Mapping[str, str]) -> None:
         self._variables = variables
 
-    def check(self, node: ast.expr, depth: int) -> Typed:
+    def check(self, node: ast.expr, depth: int) -> TypedExpression:
         if depth > c.EXPRESSION_DEPTH:
             raise _error(node, f"nested deeper than {c.EXPRESSION_DEPTH}")
-        handlers: dict[type[ast.expr], Callable[[Any, int], Typed]] = {
+        handlers: dict[type[ast.expr], Callable[[Any, int], TypedExpression]] = {
             ast.Constant: self._constant,
             ast.Name: self._name,
             ast.UnaryOp: self._unary,
@@ -102,76 +102,86 @@
             raise _error(node, f"{type(node).__name__.lower()} is not part of the language")
         return handler(node, depth + 1)
 
-    def _constant(self, node: ast.Constant, _: int) -> Typed:
+    def _constant(self, node: ast.Constant, _: int) -> TypedExpression:
         value = node.value
         if isinstance(value, bool):
-            return Typed(BOOL, lambda _: value)
+            return TypedExpression(BOOL, lambda _: value)
         if isinstance(value, str):
-            return Typed(NAME, lambda _: value)
+            return TypedExpression(NAME, lambda _: value)
         if isinstance(value, int | float) and abs(value) <= c.EXPRESSION_MOST:
             number = float(value)
-            return Typed(ANY, lambda _: number)
+            return TypedExpression(ANY_UNIT, lambda _: number)
         raise _error(node, "neither a number of sensible size, a name, nor True or False")
 
-    def _name(self, node: ast.Name, _: int) -> Typed:
+    def _name(self, node: ast.Name, _: int) -> TypedExpression:
         name = node.id
         if name not in self._variables:
             known = ", ".join(sorted(self._variables)) or "none"
             raise _error(node, f"unknown name {name!r}; known here: {known}")
-        return Typed(self._variables[name], lambda given: given[name], frozenset({name}))
+        return TypedExpression(
+            self._variables[name], lambda values: values[name], frozenset({name})
+        )
 
-    def _number(self, node: ast.expr, depth: int) -> Typed:
+    def _number(self, node: ast.expr, depth: int) -> TypedExpression:
         found = self.check(node, depth)
         if found.type not in _NUMBERS:
             raise _error(node, f"is {found.type}, where a number is needed")
         return found
 
-    def _boolean(self, node: ast.expr, depth: int) -> Typed:
+    def _boolean(self, node: ast.expr, depth: int) -> TypedExpression:
         found = self.check(node, depth)
         if found.type != BOOL:
             raise _error(node, f"is {found.type}, where yes or no is needed")
         return found
 
-    def _unary(self, node: ast.UnaryOp, depth: int) -> Typed:
+    def _unary(self, node: ast.UnaryOp, depth: int) -> TypedExpression:
         if isinstance(node.op, ast.Not):
             truth = self._boolean(node.operand, depth)
-            return Typed(BOOL, lambda given: not truth.run(given), truth.names)
+            return TypedExpression(BOOL, lambda values: not truth.evaluate(values), truth.variables)
         if isinstance(node.op, ast.USub):
             number = self._number(node.operand, depth)
-            return Typed(number.type, lambda given: -number.run(given), number.names)
+            return TypedExpression(
+                number.type, lambda values: -number.evaluate(values), number.variables
+            )
         raise _error(node, "only `-` and `not` are allowed as unary operators")
 
-    def _common_type(self, node: ast.AST, *parts: Typed) -> str:
-        types = {part.type for part in parts} - {ANY}
+    def _common_type(self, node: ast.AST, *parts: TypedExpression) -> str:
+        types = {part.type for part in parts} - {ANY_UNIT}
         if len(types) > 1:
             raise _error(node, f"{' and '.join(sorted(types))} can't be combined")
-        return types.pop() if types else ANY
+        return types.pop() if types else ANY_UNIT
 
-    def _binary(self, node: ast.BinOp, depth: int) -> Typed:
+    def _binary(self, node: ast.BinOp, depth: int) -> TypedExpression:
         left, right = self._number(node.left, depth), self._number(node.right, depth)
-        names = left.names | right.names
+        variables = left.variables | right.variables
         if type(node.op) in _ADDITIVE:
             add = _ADDITIVE[type(node.op)]
             kind = self._common_type(node, left, right)
-            return Typed(kind, lambda given: add(left.run(given), right.run(given)), names)
+            return TypedExpression(
+                kind, lambda values: add(left.evaluate(values), right.evaluate(values)), variables
+            )
         if type(node.op) in _MULTIPLICATIVE:
             multiply = _MULTIPLICATIVE[type(node.op)]
             kind = self._product_unit(node, left.type, right.type)
-            return Typed(kind, lambda given: multiply(left.run(given), right.run(given)), names)
+            return TypedExpression(
+                kind,
+                lambda values: multiply(left.evaluate(values), right.evaluate(values)),
+                variables,
+            )
         raise _error(node, "of arithmetic operators, only + - * / are supported")
 
     def _product_unit(self, node: ast.BinOp, left: str, right: str) -> str:
-        if left == ANY and right == ANY:
-            return ANY
-        if right in (PLAIN, ANY):
-            return PLAIN if left == ANY else left
-        if isinstance(node.op, ast.Mult) and left in (PLAIN, ANY):
+        if left == ANY_UNIT and right == ANY_UNIT:
+            return ANY_UNIT
+        if right in (DIMENSIONLESS, ANY_UNIT):
+            return DIMENSIONLESS if left == ANY_UNIT else left
+        if isinstance(node.op, ast.Mult) and left in (DIMENSIONLESS, ANY_UNIT):
             return right
         if isinstance(node.op, ast.Div) and left == right:
-            return PLAIN
+            return DIMENSIONLESS
         raise _error(node, f"no unit is defined for this operation on {left} and {right}")
 
-    def _compare(self, node: ast.Compare, depth: int) -> Typed:
+    def _compare(self, node: ast.Compare, depth: int) -> TypedExpression:
         if len(node.ops) != 1 or type(node.ops[0]) not in _COMPARISONS:
             raise _error(node, "only a single comparison with < <= > >= == or != is supported")
         left, right = self.check(node.left, depth), self.check(node.comparators[0], depth)
@@ -179,23 +189,29 @@
         compare = _COMPARISONS[type(node.ops[0])]
         if kind in (BOOL, NAME) and type(node.ops[0]) not in (ast.Eq, ast.NotEq):
             raise _error(node, f"{kind} has no order")
-        names = left.names | right.names
-        return Typed(BOOL, lambda given: compare(left.run(given), right.run(given)), names)
+        variables = left.variables | right.variables
+        return TypedExpression(
+            BOOL, lambda values: compare(left.evaluate(values), right.evaluate(values)), variables
+        )
 
-    def _boolean_operator(self, node: ast.BoolOp, depth: int) -> Typed:
+    def _boolean_operator(self, node: ast.BoolOp, depth: int) -> TypedExpression:
         parts = [self._boolean(value, depth) for value in node.values]
-        names = frozenset[str]().union(*(part.names for part in parts))
+        variables = frozenset[str]().union(*(part.variables for part in parts))
         combine = all if isinstance(node.op, ast.And) else any
-        return Typed(BOOL, lambda given: combine(part.run(given) for part in parts), names)
+        return TypedExpression(
+            BOOL, lambda values: combine(part.evaluate(values) for part in parts), variables
+        )
 
-    def _conditional(self, node: ast.IfExp, depth: int) -> Typed:
+    def _conditional(self, node: ast.IfExp, depth: int) -> TypedExpression:
         test = self._boolean(node.test, depth)
         yes, no = self.check(node.body, depth), self.check(node.orelse, depth)
-        names = test.names | yes.names | no.names
+        variables = test.variables | yes.variables | no.variables
         kind = self._common_type(node, yes, no)
-        return Typed(kind, lambda g: yes.run(g) if test.run(g) else no.run(g), names)
+        return TypedExpression(
+            kind, lambda g: yes.evaluate(g) if test.evaluate(g) else no.evaluate(g), variables
+        )
 
-    def _call(self, node: ast.Call, depth: int) -> Typed:
+    def _call(self, node: ast.Call, depth: int) -> TypedExpression:
         name = node.func.id if isinstance(node.func, ast.Name) else ""
         if name not in CALLS or node.keywords:
             raise _error(node, f"the only supported calls are {', '.join(CALLS)}")
@@ -203,6 +219,8 @@
         if len(parts) != 1 if name in ("abs", "floor", "ceil") else len(parts) < 2:
             raise _error(node, f"wrong number of arguments for {name}")
         call = CALLS[name]
-        names = frozenset[str]().union(*(part.names for part in parts))
+        variables = frozenset[str]().union(*(part.variables for part in parts))
         kind = self._common_type(node, *parts)
-        return Typed(kind, lambda given: call(*(part.run(given) for part in parts)), names)
+        return TypedExpression(
+            kind, lambda values: call(*(part.evaluate(values) for part in parts)), variables
+        )
--- a/pulleydeal/policy/settings.py
+++ b/pulleydeal/policy/settings.py
@@ -1,8 +1,8 @@
 """The operators' policy file: one `name = expression` per line, checked as a whole before use.
 
 No setting affects a safety rule: they determine what is rented, how long it is kept, and the order
-among jobs of equal rank. At run time a failing expression, or a result outside the setting's range, is
-replaced by the default.
+among jobs of equal rank. At run time a failing expression, or a result outside the setting's range,
+is replaced by the default.
 """
 
 import logging
@@ -12,31 +12,36 @@
 
 from pulleydeal import constants as c
 from pulleydeal.policy.language import (
-    ANY,
+    ANY_UNIT,
     BOOL,
+    DIMENSIONLESS,
     MONEY,
     NAME,
-    PLAIN,
     SECONDS,
     ExpressionError,
-    Typed,
+    TypedExpression,
     Value,
     parse,
 )
 
 log = logging.getLogger("pulleydeal.policy")
 
-_FLEET = {"machines": PLAIN, "waiting_tasks": PLAIN}
-_MACHINE = _FLEET | {"spot": BOOL, "zone": NAME, "price": MONEY, "boot_s": SECONDS}
-_PRICES = {"price": MONEY, "spot_price": MONEY}
-_JOB = {
+_FLEET_VARIABLES = {"machines": DIMENSIONLESS, "waiting_tasks": DIMENSIONLESS}
+_MACHINE_VARIABLES = _FLEET_VARIABLES | {
+    "spot": BOOL,
+    "zone": NAME,
+    "price": MONEY,
+    "boot_s": SECONDS,
+}
+_PRICE_VARIABLES = {"price": MONEY, "spot_price": MONEY}
+_JOB_VARIABLES = {
     "kind": NAME,
     "job_class": NAME,
     "team": NAME,
     "age_s": SECONDS,
     "estimate_s": SECONDS,
     "waiting_work_s": SECONDS,
-    "waiting_tasks": PLAIN,
+    "waiting_tasks": DIMENSIONLESS,
 }
 
 
@@ -45,17 +50,17 @@
     """A configurable value: its unit, allowed range, available variables and default."""
 
     unit: str
-    least: float
-    most: float
+    minimum: float
+    maximum: float
     variables: Mapping[str, str]
     default: float | None  # None: the built-in behaviour
 
 
 SETTINGS = {
-    "idle_stay_s": Setting(SECONDS, 5.0, 3600.0, _MACHINE, c.IDLE_RETURN_S),
-    "spare_machines": Setting(PLAIN, 0.0, 50.0, _FLEET, 0.0),
-    "spot_discount": Setting(PLAIN, 0.0, 1.0, _PRICES, c.SPOT_DISCOUNT),
-    "order": Setting(SECONDS, 0.0, 1e9, _JOB, None),
+    "idle_stay_s": Setting(SECONDS, 5.0, 3600.0, _MACHINE_VARIABLES, c.IDLE_RETURN_S),
+    "spare_machines": Setting(DIMENSIONLESS, 0.0, 50.0, _FLEET_VARIABLES, 0.0),
+    "spot_discount": Setting(DIMENSIONLESS, 0.0, 1.0, _PRICE_VARIABLES, c.SPOT_DISCOUNT),
+    "order": Setting(SECONDS, 0.0, 1e9, _JOB_VARIABLES, None),
 }
 
 
@@ -66,7 +71,7 @@
 class Policy:
     """The expressions that the operators set; every other setting has its default."""
 
-    def __init__(self, expressions: Mapping[str, Typed] | None = None) -> None:
+    def __init__(self, expressions: Mapping[str, TypedExpression] | None = None) -> None:
         self._expressions = dict(expressions or {})
         self._reported: set[str] = set()
 
@@ -74,7 +79,7 @@
         """Whether the operators set an expression for this setting."""
         return name in self._expressions
 
-    def value(self, name: str, given: Mapping[str, Value]) -> float:
+    def value(self, name: str, values: Mapping[str, Value]) -> float:
         """The expression's result, or the default if there is none or it is unusable."""
         setting = SETTINGS[name]
         fallback = setting.default if setting.default is not None else 0.0
@@ -82,11 +87,11 @@
         if expression is None:
             return fallback
         try:
-            result = float(expression.run(given))
+            result = float(expression.evaluate(values))
         except (ArithmeticError, ValueError) as error:
             return self._fall_back(name, f"fails: {error}", fallback)
-        if not setting.least <= result <= setting.most:
-            reason = f"gives {result:g}, outside {setting.least:g} to {setting.most:g}"
+        if not setting.minimum <= result <= setting.maximum:
+            reason = f"gives {result:g}, outside {setting.minimum:g} to {setting.maximum:g}"
             return self._fall_back(name, reason, fallback)
         return result
 
@@ -99,7 +104,7 @@
 
 def check(text: str) -> tuple[Policy, list[str]]:
     """Parses a policy text. Returns the policy and its faults, as `line:column: reason`."""
-    expressions: dict[str, Typed] = {}
+    expressions: dict[str, TypedExpression] = {}
     faults: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         code = line.partition("#")[0]
@@ -124,17 +129,17 @@
     return Policy(expressions), faults
 
 
-def _expression(text: str, setting: Setting) -> Typed:
+def _expression(text: str, setting: Setting) -> TypedExpression:
     typed = parse(text, setting.variables)
-    if typed.type not in (setting.unit, ANY):
+    if typed.type not in (setting.unit, ANY_UNIT):
         raise ExpressionError(1, f"is {typed.type}, where {setting.unit} is needed")
-    if not typed.names:
+    if not typed.variables:
         try:
-            result = float(typed.run({}))
+            result = float(typed.evaluate({}))
         except ArithmeticError as error:
             raise ExpressionError(1, f"fails: {error}") from error
-        if not setting.least <= result <= setting.most:
-            reason = f"{result:g} is outside {setting.least:g} to {setting.most:g}"
+        if not setting.minimum <= result <= setting.maximum:
+            reason = f"{result:g} is outside {setting.minimum:g} to {setting.maximum:g}"
             raise ExpressionError(1, reason)
     return typed
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -58,12 +58,14 @@
     assert load(tmp_path / "none.toml") == load(None) == Features()
     path = tmp_path / "features.toml"
     path.write_text("# nothing\n")
-    assert load(path).on() == []
+    assert load(path).enabled() == []
     path.write_text("[operators]\nlisten = '127.0.0.1:9000'\n")
-    assert load(path).on() == ["operators"]
+    assert load(path).enabled() == ["operators"]
     assert main(["check", "--config", str(SETTINGS), "--features", str(path)]) == 0
     assert "switched on: operators" in capsys.readouterr().out
-    assert load(ROOT / "deploy" / "features.toml").on() == ["zones"]  # the deployed configuration
+    assert load(ROOT / "deploy" / "features.toml").enabled() == [
+        "zones"
+    ]  # the deployed configuration
 
 
 def test_disabled_features_are_not_imported() -> None:
@@ -120,7 +122,7 @@
             break
         after = found["next"]
     assert seen == names
-    for bad in ("0", "-1", "x", "1e3", str(fc.PAGE_MOST + 1), "9" * 400, "²"):
+    for bad in ("0", "-1", "x", "1e3", str(fc.MAX_PAGE_SIZE + 1), "9" * 400, "²"):
         with pytest.raises(Problem):
             page(Asked({}, {"limit": bad}, b"", ""), names, str)
 
