--- a/pulleydeal/journal/service.py
+++ b/pulleydeal/journal/service.py
@@ -68,7 +68,7 @@
     # --- appending ----------------------------------------------------------------------------
     async def append(self, job: str, make: MakeDraft, turn: Turn) -> bool:
         result: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        while job in self._queue:  # user-facing changes of a job are queued apart from its others
+        while job in self._queue:  # a job's urgent changes are written concurrently with its others
             await asyncio.wait([self._queue[job].result])
         self._queue[job] = PendingAppend(make, turn, result)
         if self._append_task is None or self._append_task.done():
