--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -24,7 +24,7 @@
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Settings
 from pulleydeal.store.client import StateClient
-from pulleydeal.store.limits import tightest
+from pulleydeal.store.limits import effective_limits
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff, Store, forever
 from pulleydeal.submissions.service import Submissions
@@ -53,7 +53,7 @@
         self.lateness = LoopLag(clock)
         self.client = StateClient(settings.endpoints.state, clock, limits, nodes)
         self.replica = Replica()
-        self.store = Store(self.client, self.replica, clock, rng, tightest(limits))
+        self.store = Store(self.client, self.replica, clock, rng, effective_limits(limits))
         self.siblings = Siblings(settings, clock)
         self.membership = Membership(settings, self.store, self.siblings, clock, rng)
         self.journal = self.store.journal = Journal(self.membership, self.store, Backoff(rng))
--- a/pulleydeal/background.py
+++ b/pulleydeal/background.py
@@ -29,8 +29,8 @@
 def take_failure(future: "asyncio.Future[Any]") -> None:
     """Done callback for a future that several callers await: retrieves its exception.
 
-    All callers may have timed out before it fails, as those of `Store.fresh` do while the read that
-    they share goes on. Without this, each outage of the state service left tens of
+    All callers may have timed out before it fails, as those of `Store.ensure_fresh` do while the
+    read that they share goes on. Without this, each outage of the state service left tens of
     `Task exception was never retrieved` in the log, with some 47 lines of traceback each.
     """
     if not future.cancelled():
--- a/pulleydeal/credits/builder.py
+++ b/pulleydeal/credits/builder.py
@@ -63,7 +63,7 @@
         type_ = self._replica.types[tracked.type]
         room = FreeCapacity(type_.cpus, type_.gpus, type_.memory)
         victims = []
-        bound = self._replica.bound.get(tracked.id, {})
+        bound = self._replica.tasks_by_machine.get(tracked.id, {})
         for (job_id, index), task in bound.items():
             spec = self._replica.jobs[job_id].spec
             if spec is None:
--- a/pulleydeal/credits/images.py
+++ b/pulleydeal/credits/images.py
@@ -41,7 +41,7 @@
     def record_bindings(self, machine: str) -> None:
         """Records the images of all tasks that are bound to the machine, most recent last."""
         images = self._images.setdefault(machine, {})
-        for job_id, _ in self._replica.bound.get(machine, ()):
+        for job_id, _ in self._replica.tasks_by_machine.get(machine, ()):
             spec = self._replica.jobs[job_id].spec
             if spec is not None:
                 images.pop(spec.image, None)
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -36,7 +36,7 @@
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
-from pulleydeal.store.reasons import made_room
+from pulleydeal.store.reasons import preemption_reason
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
@@ -95,7 +95,7 @@
         siblings.on(FREE, self._on_release)
         workers.on_credit_change = self._mark_dirty
         membership.totals = lambda: self._published
-        replica.listen(self._on_change)
+        replica.add_listener(self._on_change)
 
     def _mark_dirty(self, machine: str) -> None:
         self._dirty.add(machine)
@@ -188,7 +188,7 @@
         for key in [key for key, waiting in self._waiting.items() if waiting.expires_at < now]:
             del self._waiting[key]
         for key, held in list(self._holds.items()):
-            if held.until < now or key in self._replica.bound.get(held.machine, {}):
+            if held.until < now or key in self._replica.tasks_by_machine.get(held.machine, {}):
                 self._release_hold(key)
         for machine, (key, until) in list(self._reservations.items()):
             # A task that went elsewhere, or may no longer run here, must not keep the reservation:
@@ -384,7 +384,7 @@
         self._reserved_machine[key] = credit.machine
         credit.reserved = key
         self._unpublished = True
-        why = made_room(request.priority)
+        why = preemption_reason(request.priority)
         log.info("machine %s: preempting %d tasks for %s/%d", credit.machine, len(victims), *key)
         return [(victim, why) for victim in victims]
 
--- a/pulleydeal/decisions.py
+++ b/pulleydeal/decisions.py
@@ -93,7 +93,7 @@
             decision.session,
             decision.seq,
             store.replica.revision,
-            self._clock.now() - store.current_at,
+            self._clock.now() - store.fresh_as_of,
             decision.waited_s,
             self._clock.wall(),
             decision.why,
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -12,7 +12,7 @@
 
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.service import Store
 
 T = TypeVar("T")
@@ -27,7 +27,7 @@
         self._membership = membership
         self._store = store
         membership.serves[feature] = format_
-        self._kept = store.replica.keep_feature(feature)
+        self._kept = store.replica.track_feature(feature)
 
     def key(self, name: str) -> str:
         return r.feature_key(self.feature, name)
@@ -68,17 +68,17 @@
         drops: list[str] | None = None,
         also: dict[str, object] | None = None,
         also_read: dict[str, int] | None = None,
-        turn: Turn = Turn.WORK,
+        priority: WritePriority = WritePriority.NORMAL,
     ) -> bool:
         """One transaction: own records by name, others (`also`, a job's say) by key.
 
         True: done and shown in the replica. False: the view or a mark moved, and nothing was
         done. Raises what `Store.commit` does.
         """
-        conditions = {r.VIEW: self._store.replica.view_version}
+        conditions = {r.VIEW_KEY: self._store.replica.view_version}
         conditions |= {self.key(name): mark for name, mark in read.items()}
         conditions |= also_read or {}
         written: dict[str, Any] = {self.key(name): value for name, value in puts.items()}
         written |= also or {}
         gone = [self.key(name) for name in drops or []]
-        return await self._store.commit(conditions, written, gone, turn=turn)
+        return await self._store.commit(conditions, written, gone, priority=priority)
--- a/pulleydeal/fleet/catalog.py
+++ b/pulleydeal/fleet/catalog.py
@@ -45,10 +45,12 @@
     async def _record_types(self, catalog: r.Catalog) -> None:
         """Writes as many values as needed; older versions only read the types in the first one."""
         parts = plan.split_catalog(catalog, self._store.limits)
-        puts: dict[str, object] = {r.CATALOG: parts[0]}
+        puts: dict[str, object] = {r.CATALOG_KEY: parts[0]}
         puts |= {r.types_key(k): part for k, part in enumerate(parts[1:], 1)}
-        existing = {r.PREFIX + f"t/{name}" for name in self._replica.more_types}
+        existing = {r.KEY_PREFIX + f"t/{name}" for name in self._replica.extra_types}
         deletions = sorted(existing - set(puts))
         # Conditional on the catalogue's version, so a write executed late can't restore old types.
-        conditions = {r.CATALOG: self._replica.version(r.CATALOG)}
-        await self._store.commit({r.VIEW: self._replica.view_version} | conditions, puts, deletions)
+        conditions = {r.CATALOG_KEY: self._replica.version(r.CATALOG_KEY)}
+        await self._store.commit(
+            {r.VIEW_KEY: self._replica.view_version} | conditions, puts, deletions
+        )
--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -9,7 +9,7 @@
 from pulleydeal.clock import Clock
 from pulleydeal.fleet import messages as m
 from pulleydeal.http import MALFORMED, Client, NoAnswer
-from pulleydeal.store.rate import Rate
+from pulleydeal.store.rate import TokenBucket
 from pulleydeal.store.records import MachineType
 
 
@@ -43,7 +43,7 @@
 
     def __init__(self, address: str, clock: Clock, rps: float) -> None:
         self._http = Client(address, clock)
-        self._rate = Rate(rps * 0.8, clock)
+        self._rate = TokenBucket(rps * 0.8, clock)
 
     async def _call(self, method: str, path: str, body: object = None) -> bytes:
         while (pause := self._rate.take(1, False)) > 0:
--- a/pulleydeal/fleet/machine_records.py
+++ b/pulleydeal/fleet/machine_records.py
@@ -9,7 +9,7 @@
 from pulleydeal.clock import Clock
 from pulleydeal.fleet.messages import ListedMachine
 from pulleydeal.store import records as r
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Machine
 from pulleydeal.store.service import Store
 
@@ -30,7 +30,10 @@
         self.max_records = min(store.limits.ops, c.RECORDS_AT_ONCE)
 
     async def mark_for_return(
-        self, machines: Iterable[Machine], why: str, turn: Turn = Turn.LATER
+        self,
+        machines: Iterable[Machine],
+        why: str,
+        priority: WritePriority = WritePriority.BACKGROUND,
     ) -> None:
         """Marks machines for return; from then on no task can be bound to them."""
         wall = self._clock.wall()
@@ -38,7 +41,7 @@
         def drain(old: r.MachineRecord) -> r.MachineRecord:
             return msgspec.structs.replace(old, state="drain", why=why, at=wall)
 
-        for machine in await self._rewrite(list(machines), drain, turn):
+        for machine in await self._rewrite(list(machines), drain, priority):
             _log_marked(machine.id, why)
 
     async def mark_unrecorded(self, listed: ListedMachine, why: str) -> None:
@@ -51,8 +54,8 @@
             "drain", listed.type, listed.zone, listed.spot, at=self._clock.wall(), why=why
         )
         key = r.machine_key(listed.id)
-        conditions = {r.VIEW: self._replica.view_version, key: 0}
-        if await self._store.commit(conditions, {key: record}, turn=Turn.LATER):
+        conditions = {r.VIEW_KEY: self._replica.view_version, key: 0}
+        if await self._store.commit(conditions, {key: record}, priority=WritePriority.BACKGROUND):
             _log_marked(listed.id, why)
 
     async def record_gone(self, names: list[str]) -> None:
@@ -67,7 +70,7 @@
             for machine in map(self._replica.machines.get, names)
             if machine is not None and machine.record.state != "gone"
         ]:
-            for machine in await self._rewrite(remaining, gone, turn=Turn.FIRST):
+            for machine in await self._rewrite(remaining, gone, priority=WritePriority.URGENT):
                 log.info(
                     "machine %s returned (%s)",
                     machine.id,
@@ -83,30 +86,30 @@
             for machine in self._replica.machines.values()
             if machine.record.state == "gone"
             and wall - machine.record.at > c.GONE_KEEP_S
-            and not self._replica.bound.get(machine.id)
+            and not self._replica.tasks_by_machine.get(machine.id)
         ]
-        await self._rewrite(old, lambda record: None, turn=Turn.LATER)
+        await self._rewrite(old, lambda record: None, priority=WritePriority.BACKGROUND)
 
     async def _rewrite(
         self,
         machines: list[Machine],
         change: Callable[[r.MachineRecord], r.MachineRecord | None],
-        turn: Turn,
+        priority: WritePriority,
     ) -> list[Machine]:
         """Applies `change` to each record (None: deletes it); returns the machines it changed."""
         written = []
         for start in range(0, len(machines), self.max_records):
             batch = machines[start : start + self.max_records]
             conditions = {r.machine_key(m.id): m.version for m in batch}
-            conditions[r.VIEW] = self._replica.view_version
+            conditions[r.VIEW_KEY] = self._replica.view_version
             new = {r.machine_key(m.id): change(m.record) for m in batch}
             puts: dict[str, object] = {k: v for k, v in new.items() if v is not None}
             deletions = [k for k, v in new.items() if v is None]
-            if await self._store.commit(conditions, puts, deletions, turn=turn):
+            if await self._store.commit(conditions, puts, deletions, priority=priority):
                 written += batch
             elif len(batch) > 1:
                 for machine in batch:  # one record changed: write the others without it
-                    written += await self._rewrite([machine], change, turn)
+                    written += await self._rewrite([machine], change, priority)
         return written
 
 
--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -146,7 +146,7 @@
         self._replica = replica
         self._target_classes = target_classes
         self._cache: dict[str, tuple[FreeCapacity, Resources]] = {}
-        replica.listen(self._on_change)
+        replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind in ("bound", "machine"):
@@ -163,7 +163,7 @@
 
     def _compute(self, machine: str, type_: r.MachineType) -> tuple[FreeCapacity, Resources]:
         room, preemptible = FreeCapacity(type_.cpus, type_.gpus, type_.memory), NO_RESOURCES
-        for job_id, _ in self._replica.bound.get(machine, {}):
+        for job_id, _ in self._replica.tasks_by_machine.get(machine, {}):
             spec = self._replica.jobs[job_id].spec
             if spec is None:
                 continue
@@ -210,7 +210,7 @@
     """
     if not rules.is_idle_time_work(spec, target_classes):
         return False
-    if wall - job.since <= max(spec.estimate_s, c.IDLE_WORK_WAITS_S):
+    if wall - job.waiting_since <= max(spec.estimate_s, c.IDLE_WORK_WAITS_S):
         return True
     started = job.done + job.bound
     return started > 0 and (2 * started >= spec.tasks or spec.estimate_s < c.IDLE_WORK_WAITS_S)
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -16,8 +16,8 @@
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Objective, StateLimits, Team
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.client import OutcomeUnknown
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Machine
 from pulleydeal.store.service import Store
 from pulleydeal.workers.eviction import IDLE
@@ -70,7 +70,7 @@
         self._idle_since: dict[str, float] = {}
         self._idle_checked_at = -1e9  # when unused machines were last determined
         self._wake = asyncio.Event()
-        store.replica.listen(self._on_change)
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "job":
@@ -125,11 +125,11 @@
         """
         puts: dict[str, object] = {r.rental_key(name): record}
         if name == self._unanswered_rental:
-            puts[r.VIEW] = self._replica.view
-        conditions = {r.VIEW: self._replica.view_version, r.rental_key(name): 0}
+            puts[r.VIEW_KEY] = self._replica.view
+        conditions = {r.VIEW_KEY: self._replica.view_version, r.rental_key(name): 0}
         try:
             written = await self._store.commit(conditions, puts)
-        except Unknown:
+        except OutcomeUnknown:
             self._unanswered_rental = name
             raise
         if name == self._unanswered_rental:
@@ -144,14 +144,14 @@
         jobs.sort(
             key=lambda j: (
                 -(j.spec.priority if j.spec else 0),
-                j.since,
+                j.waiting_since,
                 j.id,
             )
         )
         for job in jobs:
             if job.spec is not None:
                 arrived = self._recent_jobs.setdefault(job.spec.klass, {})
-                arrived[job.id] = (job.since, job.spec)
+                arrived[job.id] = (job.waiting_since, job.spec)
         boot_s = max((t.boot_s for t in self._replica.types.values()), default=0.0)
         unseen_zones = self._unseen_zones()
         return plan.PlanState(
@@ -303,7 +303,7 @@
             ):
                 found.setdefault(why, []).append(machine)
         for why, machines in found.items():
-            await self._records.mark_for_return(machines, why, Turn.WORK)
+            await self._records.mark_for_return(machines, why, WritePriority.NORMAL)
 
     def _is_returnable(self, machine: Machine) -> bool:
         if machine.record.state != "drain":
@@ -312,7 +312,7 @@
             return True
         # Bindings older than the mark must all be known here; newer ones fail on the mark.
         seen = self._replica.revision >= machine.version
-        return seen and not self._replica.bound.get(machine.id)
+        return seen and not self._replica.tasks_by_machine.get(machine.id)
 
     async def _mark_unused(self) -> None:
         now, wall = self._clock.now(), self._clock.wall()
--- a/pulleydeal/journal/decide.py
+++ b/pulleydeal/journal/decide.py
@@ -8,7 +8,7 @@
 from pulleydeal import constants as c
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import Fact, packed
+from pulleydeal.store.facts import Fact, split_into_values
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import JournalValue, Replica
 
@@ -29,7 +29,7 @@
         conditions = self.conditions | draft.conditions
         facts = [*self.facts, *draft.facts]
         size_b = self.size_b + sum(len(msgspec.json.encode(fact)) + 1 for fact in draft.facts)
-        values = len(packed(facts, self.limits.value_b))
+        values = len(split_into_values(facts, self.limits.value_b))
         if size_b > c.JOURNAL_APPEND_B or values > self.limits.ops:
             return False
         if len(conditions) + values > self.limits.conditions:
@@ -39,7 +39,7 @@
 
     def values(self) -> list[list[Fact]]:
         """At least one, though empty: it keeps an unanswered append from being carried out."""
-        return packed(self.facts, self.limits.value_b) or [[]]
+        return split_into_values(self.facts, self.limits.value_b) or [[]]
 
 
 def is_suited(spec: r.JobSpec) -> bool:
@@ -73,7 +73,7 @@
     if job.record.spec is None:
         return False
     state = job.task(fact.index)
-    if replica.is_combined(fact.job, fact.index):
+    if replica.is_merged(fact.job, fact.index):
         return state.attempt == fact.task.attempt
     return state == fact.task
 
@@ -128,12 +128,12 @@
     """The oldest values that fit together into fewer than they are."""
     oldest = sorted(places, key=lambda place: journals[place].version)[: c.JOURNAL_RESTATED]
     facts = [fact for place in oldest for fact in counting[place]]
-    new = len(packed(facts, limits.value_b))
+    new = len(split_into_values(facts, limits.value_b))
     if new >= len(oldest) or new + len(oldest) > limits.ops:
         return None
     return Tidying({place: journals[place].version for place in oldest}, facts)
 
 
 def conditions_of(tidy: Tidying, view_version: int) -> dict[str, int]:
-    found = {f"{r.JOURNAL}{place}": version for place, version in tidy.drops.items()}
-    return found | {r.VIEW: view_version}
+    found = {f"{r.JOURNAL_PREFIX}{place}": version for place, version in tidy.drops.items()}
+    return found | {r.VIEW_KEY: view_version}
--- a/pulleydeal/journal/service.py
+++ b/pulleydeal/journal/service.py
@@ -10,12 +10,12 @@
 from pulleydeal.journal.measures import Measures
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
-from pulleydeal.store.client import LeaseLost, Refused, Unavailable, Unknown
+from pulleydeal.store.client import LeaseLost, OutcomeUnknown, RequestRejected, Unavailable
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import packed
+from pulleydeal.store.facts import split_into_values
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.service import Backoff, MakeDraft, Store
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.service import Backoff, DraftFactory, Store
 
 log = logging.getLogger("pulleydeal.journal")
 FEATURE = "journal"
@@ -26,8 +26,8 @@
 class Waiting:
     """One job's facts, which are worked out when the append is made."""
 
-    make: MakeDraft
-    turn: Turn
+    make: DraftFactory
+    priority: WritePriority
     written: asyncio.Future[bool]
     tries: int = 0
 
@@ -57,15 +57,15 @@
     def start(self) -> str:
         return f"{self._membership.me}.{self._membership.incarnation}"
 
-    def takes(self, spec: r.JobSpec) -> bool:
+    def accepts(self, spec: r.JobSpec) -> bool:
         return self.is_on and decide.is_suited(spec) and self._membership.all_serve(FEATURE, FORMAT)
 
     # --- appending ----------------------------------------------------------------------------
-    async def append(self, job: str, make: MakeDraft, turn: Turn) -> bool:
+    async def append(self, job: str, make: DraftFactory, priority: WritePriority) -> bool:
         written: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         while job in self._queue:  # what a user waits for comes by another way than the rest
             await asyncio.wait([self._queue[job].written])
-        self._queue[job] = Waiting(make, turn, written)
+        self._queue[job] = Waiting(make, priority, written)
         if self._pump is None or self._pump.done():
             self._pump = asyncio.ensure_future(self._run())
             self._pump.add_done_callback(take_failure)
@@ -73,15 +73,15 @@
 
     async def _run(self) -> None:
         while self._queue or self._in_doubt:
-            turn = min((w.turn for w in self._queue.values()), default=Turn.WORK)
-            await self._store.client.may_write(turn)
+            priority = min((w.priority for w in self._queue.values()), default=WritePriority.NORMAL)
+            await self._store.client.wait_for_write_slot(priority)
             try:
                 await self._append_once()
                 self._backoff.reset()
             except (Unavailable, TimeoutError, LeaseLost) as error:
                 log.debug("append: %s", error)
                 await self._backoff.pause()
-            except Unknown as error:
+            except OutcomeUnknown as error:
                 # It may be carried out now or later, but only under this name: the next append
                 # has the same one, so at most one of them ever is.
                 log.debug("append: %s", error)
@@ -92,7 +92,7 @@
                 await self._backoff.pause()
 
     async def _append_once(self) -> None:
-        batch = decide.Batch(self._store.limits, {r.VIEW: self._replica.view_version})
+        batch = decide.Batch(self._store.limits, {r.VIEW_KEY: self._replica.view_version})
         taken = self._collect(batch)
         if not batch.facts and not self._in_doubt:
             self._finish(taken)
@@ -103,11 +103,11 @@
         conditions = batch.conditions | dict.fromkeys(keys, 0)
         puts: dict[str, object] = dict(zip(keys, values, strict=True))
         try:
-            written = await self._store.commit(conditions, puts, turn=None)
-        except Unknown:
-            self._doubted.setdefault(self._next, set()).add(conditions[r.VIEW])
+            written = await self._store.commit(conditions, puts, priority=None)
+        except OutcomeUnknown:
+            self._doubted.setdefault(self._next, set()).add(conditions[r.VIEW_KEY])
             raise
-        except (TooLarge, Refused) as error:
+        except (TooLarge, RequestRejected) as error:
             log.error("append given up: %s", error)
             if not self._in_doubt:
                 self._fail(taken)
@@ -124,7 +124,7 @@
     def _collect(self, batch: decide.Batch) -> list[str]:
         """Works out what waits, in its turn, until the transaction is full."""
         taken = []
-        for job, waiting in sorted(self._queue.items(), key=lambda item: item[1].turn):
+        for job, waiting in sorted(self._queue.items(), key=lambda item: item[1].priority):
             draft = self._made(job, waiting)
             if draft is None:
                 self._resolve(job, written=False)
@@ -157,7 +157,7 @@
     async def _read_back(self) -> None:
         while True:
             try:
-                await self._store.fresh()
+                await self._store.ensure_fresh()
                 break
             except Unavailable:
                 await self._backoff.pause()
@@ -202,15 +202,15 @@
             await self._tidy(tidy)
 
     async def _tidy(self, tidy: decide.Tidying) -> None:
-        drops = [f"{r.JOURNAL}{place}" for place in tidy.drops]
+        drops = [f"{r.JOURNAL_PREFIX}{place}" for place in tidy.drops]
         conditions = decide.conditions_of(tidy, self._replica.view_version)
-        values = packed(tidy.restated, self._store.limits.value_b)
+        values = split_into_values(tidy.restated, self._store.limits.value_b)
         puts: dict[str, object] = {}
         for value in values:
             key = self._restated_key()
             conditions[key] = 0
             puts[key] = value
-        if await self._store.commit(conditions, puts, drops, turn=Turn.LATER):
+        if await self._store.commit(conditions, puts, drops, priority=WritePriority.BACKGROUND):
             log.debug("journal: %d values dropped, %d written anew", len(drops), len(values))
 
     def _restated_key(self) -> str:
--- a/pulleydeal/membership/service.py
+++ b/pulleydeal/membership/service.py
@@ -62,7 +62,7 @@
         self.serves: dict[str, int] = {}  # feature enabled on this node -> its record format
         self.totals: Callable[[], list[Total]] = list
         siblings.on(BEAT, self._on_beat)
-        self._replica.listen(self._on_change)
+        self._replica.add_listener(self._on_change)
 
     # --- queries --------------------------------------------------------------------------
     @property
@@ -89,8 +89,11 @@
         The software records cover nodes that are down, as they may come back with an older version.
         The member records cover running nodes, as they may have been rolled back to one.
         """
-        return all(self._replica.software.get(node, 0) >= format_ for node in self.nodes()) and all(
-            self._replica.formats.get(member, 0) >= format_ for member in self._replica.members
+        return all(
+            self._replica.node_formats.get(node, 0) >= format_ for node in self.nodes()
+        ) and all(
+            self._replica.member_formats.get(member, 0) >= format_
+            for member in self._replica.members
         )
 
     def all_serve(self, feature: str, format_: int) -> bool:
@@ -99,7 +102,8 @@
         Only then can the feature's records be relied on, whichever node becomes the leader.
         """
         return self.all_keep(c.FORMAT_FEATURES) and all(
-            self._replica.shown.get(node, {}).get(feature, 0) >= format_ for node in self.nodes()
+            self._replica.node_features.get(node, {}).get(feature, 0) >= format_
+            for node in self.nodes()
         )
 
     def leads_job(self, spec: r.JobSpec) -> bool:
@@ -214,15 +218,18 @@
             log.info("replacing the membership of an earlier process of this node")
         member = r.member_key(self.me)
         puts: dict[str, object] = {member: r.Member(self.incarnation, c.FORMAT)}
-        announced = (self._replica.software.get(self.me), self._replica.shown.get(self.me))
+        announced = (
+            self._replica.node_formats.get(self.me),
+            self._replica.node_features.get(self.me),
+        )
         if announced != (c.FORMAT, self.serves):
             software = r.Software(c.FORMAT, __version__, self.serves)
             puts[r.software_key(self.me)] = software
         if not self.is_member:
-            puts[r.VIEW] = views.joined(view, self.me, self.incarnation)
+            puts[r.VIEW_KEY] = views.joined(view, self.me, self.incarnation)
         try:
             ok = await self._store.commit(
-                {r.VIEW: self._replica.view_version}, puts, lease={member: self._lease}
+                {r.VIEW_KEY: self._replica.view_version}, puts, lease={member: self._lease}
             )
         except LeaseLost:
             self._lease = None
@@ -252,13 +259,13 @@
         if not self.is_member:
             return
         gone = [m for m in views.dead(self.view, self._replica.members) if m != self.me]
-        conditions = {r.VIEW: self._replica.view_version}
+        conditions = {r.VIEW_KEY: self._replica.view_version}
         if gone:
             # Also conditional on the lease keys' absence, so that a member that came back stays.
             vanished = [m for m in gone if m not in self._replica.members]
             conditions |= {r.member_key(m): 0 for m in vanished}
             if vanished and await self._store.commit(
-                conditions, {r.VIEW: views.without(self.view, vanished)}
+                conditions, {r.VIEW_KEY: views.without(self.view, vanished)}
             ):
                 log.info(
                     "epoch %d: removed %s, whose member lease expired",
@@ -276,7 +283,7 @@
             self._siblings.steady_s(),
             {name for name, (_, beat) in self._beats.items() if self.me in beat.hears},
         )
-        if changed is not None and await self._store.commit(conditions, {r.VIEW: changed}):
+        if changed is not None and await self._store.commit(conditions, {r.VIEW_KEY: changed}):
             log.info(
                 "epoch %d: cut pairs: %s", self.epoch, self.view.cut, extra={"epoch": self.epoch}
             )
@@ -289,7 +296,9 @@
         changed = views.with_deaf(self.view, self.me, zones)
         if changed is None or not self.is_member:
             return changed is None
-        ok = await self._store.commit({r.VIEW: self._replica.view_version}, {r.VIEW: changed})
+        ok = await self._store.commit(
+            {r.VIEW_KEY: self._replica.view_version}, {r.VIEW_KEY: changed}
+        )
         if ok:
             log.info(
                 "epoch %d: zones whose machines %s does not hear: %s",
@@ -314,7 +323,7 @@
             at, beat = self._beats.get(sibling.node_name, (-1e9, None))
             heard = beat is not None and now - at < c.HEARD_NOW_S
             others.append(beat.writes if beat is not None and heard else None)
-        self._store.client.share_writes(others)
+        self._store.client.adjust_write_rate(others)
         await asyncio.sleep(c.BEAT_S)
 
     def send_beat(self) -> None:
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -14,7 +14,7 @@
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.operators import constants as oc
 from pulleydeal.store.job import Job
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.submissions.messages import described
 
 log = logging.getLogger("pulleydeal.operators")
@@ -98,8 +98,8 @@
             "revision": self._replica.revision,
             "features": self._on,
             "shown": {
-                node: {"format": format_, "features": self._replica.shown.get(node, {})}
-                for node, format_ in sorted(self._replica.software.items())
+                node: {"format": format_, "features": self._replica.node_features.get(node, {})}
+                for node, format_ in sorted(self._replica.node_formats.items())
             },
         }
 
@@ -120,7 +120,7 @@
             {"task": index, "machine": task.machine, "attempt": task.attempt}
             for index, task in sorted(job.bindings())[: fc.PAGE_MOST]
         ]
-        last = {"last_stop": shown(job.last_stop)} if job.last_stop else {}
+        last = {"last_stop": reason_text(job.last_stop_reason)} if job.last_stop_reason else {}
         return _summary(job) | {"bound": tasks} | last
 
     async def _words(self, asked: Asked) -> Any:
@@ -136,7 +136,7 @@
 
     def _machine(self, name: str) -> dict[str, Any]:
         record = self._replica.machines[name].record
-        bound = self._replica.bound.get(name, {})
+        bound = self._replica.tasks_by_machine.get(name, {})
         return {
             "machine": name,
             "state": record.state,
--- a/pulleydeal/placement/cleanup.py
+++ b/pulleydeal/placement/cleanup.py
@@ -7,7 +7,7 @@
 from pulleydeal import constants as c
 from pulleydeal.membership.service import Membership
 from pulleydeal.store.job import Job
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_exit
 from pulleydeal.workers.tracked_machine import Exit
@@ -35,13 +35,13 @@
         The previous leader may have left some unfinished, and a load of the replica reports no
         changes of single machines.
         """
-        self._dirty_machines.update(self._replica.bound)
+        self._dirty_machines.update(self._replica.tasks_by_machine)
 
     def unbind_lost_tasks(self) -> None:
         """Unbinds the tasks of machines that are durably recorded as gone."""
         for machine in list(self._dirty_machines):
             record = self._replica.machines.get(machine)
-            bound = self._replica.bound.get(machine)
+            bound = self._replica.tasks_by_machine.get(machine)
             if not bound or record is None or record.record.state != "gone":
                 self._dirty_machines.discard(machine)  # marked again at its next change
                 continue
@@ -55,21 +55,21 @@
                 proof = Exit(job_id, index, task.attempt, machine, "lost", reason)
                 log.info("task %s attempt %d lost: machine %s is gone", key, task.attempt, machine)
                 future = self._store.change_job(
-                    job_id, partial(apply_exit, task_exit=proof), turn=Turn.WORK
+                    job_id, partial(apply_exit, task_exit=proof), priority=WritePriority.NORMAL
                 )
                 future.add_done_callback(partial(self._finished, key))
 
-    def finalize(self, job: Job, turn: Turn) -> None:
+    def finalize(self, job: Job, priority: WritePriority) -> None:
         """Writes what follows for a job that is done or cancelled.
 
         The change is empty: `Draft.finish` derives what has to be written.
         A large job's chunks are removed step by step, until only one slim record remains.
         """
-        if turn is Turn.LATER and len(self._in_progress) >= c.SWEEPS_AT_ONCE:
+        if priority is WritePriority.BACKGROUND and len(self._in_progress) >= c.SWEEPS_AT_ONCE:
             return
         if job.id not in self._in_progress:
             self._in_progress.add(job.id)
-            future = self._store.change_job(job.id, lambda draft: None, turn)
+            future = self._store.change_job(job.id, lambda draft: None, priority)
             future.add_done_callback(partial(self._finished, job.id))
 
     def _finished(self, key: str, _: "asyncio.Future[bool]") -> None:
--- a/pulleydeal/placement/pending.py
+++ b/pulleydeal/placement/pending.py
@@ -57,7 +57,7 @@
     def count_granted(self, job: Job) -> int:
         """Number of the job's tasks that hold capacity and are not bound yet."""
         return sum(
-            request.is_granted and index not in job.on_machines
+            request.is_granted and index not in job.bound_tasks
             for index, request in self.for_job(job.id).items()
         )
 
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -25,7 +25,7 @@
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Store
 
@@ -68,8 +68,8 @@
         self._cleanup = JobCleanup(membership, store)
         self._binding_rules = BindingRules(membership, store.replica, self._requests, teams, zones)
         self._guaranteed: set[str] = set()  # jobs within their team's guarantee
-        self._guaranteed_at = -1  # the replica's `open_changes` for which `_guaranteed` holds
-        # Open jobs, and those led by this node, cached per view and `open_changes`: checking each
+        self._guaranteed_at = -1  # the replica's `job_changes` for which `_guaranteed` holds
+        # Open jobs, and those led by this node, cached per view and `job_changes`: checking each
         # job in each round took a sixth of a node's time (docs/results.md).
         self._open_jobs: list[Job] = []
         self._led_jobs: list[Job] = []
@@ -78,7 +78,7 @@
         self._pruned_at = -1e9
         self._wake = asyncio.Event()
         siblings.on(HOLD, self._on_hold)
-        store.replica.listen(self._on_change)
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "view":
@@ -113,13 +113,13 @@
             if job.is_open and job.spec is not None and job.done >= job.spec.tasks:
                 # Two owners may write the last ends of a chunk at the same moment: neither sees
                 # that all tasks are done, and the job, with those that wait for it, stayed open.
-                self._cleanup.finalize(job, Turn.WORK)
+                self._cleanup.finalize(job, WritePriority.NORMAL)
             elif not job.is_open and not job.bound:
-                self._cleanup.finalize(job, Turn.LATER)
+                self._cleanup.finalize(job, WritePriority.BACKGROUND)
         self._prune(now)
         self._reasons = {}
-        if self._guaranteed_at != self._replica.open_changes:
-            self._guaranteed_at = self._replica.open_changes
+        if self._guaranteed_at != self._replica.job_changes:
+            self._guaranteed_at = self._replica.job_changes
             self._guaranteed = rules.guaranteed_jobs([j for j in jobs if j.is_ready], self._teams)
         guaranteed = self._guaranteed
         usage = self._projected_usage()
@@ -150,7 +150,7 @@
     def _update_led_jobs(self) -> tuple[list[Job], list[Job]]:
         """Returns all open jobs, and those that are led by this node."""
         membership = self._membership
-        cache_key = (self._replica.open_changes, membership.epoch, membership.is_member)
+        cache_key = (self._replica.job_changes, membership.epoch, membership.is_member)
         if cache_key != self._led_jobs_key:
             if self._led_jobs_key is None or self._led_jobs_key[1:] != cache_key[1:]:
                 self._leads_cache.clear()  # the view determines the leaders of jobs
@@ -173,7 +173,7 @@
             job = self._replica.jobs.get(job_id)
             if job is None or job.spec is None:
                 continue
-            count = sum(index not in job.on_machines for index in self._requests.for_job(job_id))
+            count = sum(index not in job.bound_tasks for index in self._requests.for_job(job_id))
             amount = (job.spec.cpus * count, job.spec.gpus * count)
             usage[job.spec.team] = rules.add(usage.get(job.spec.team, (0.0, 0.0)), amount)
         return usage
@@ -186,7 +186,7 @@
                     if pending.writing:
                         continue
                     key = (job_id, index)
-                    if job is None or not job.is_open or index in job.on_machines:
+                    if job is None or not job.is_open or index in job.bound_tasks:
                         self._withdraw(key, notify_owner=not self._binding_rules.is_bound(key))
                     elif pending.machine and now > pending.hold_until:
                         self._withdraw(key, notify_owner=True)
@@ -313,7 +313,7 @@
         machines += [
             p.machine
             for index, p in self._requests.for_job(job.id).items()
-            if (job.id, index) != key and p.machine and index not in job.on_machines
+            if (job.id, index) != key and p.machine and index not in job.bound_tasks
         ]
         return rules.count_by_zone(machines, self._replica.zone_of)
 
@@ -371,7 +371,7 @@
             if self._clock.now() < until:
                 self._binding_rules.apply(draft, machines)
 
-        future = self._store.change_job(job.id, mutate, turn=Turn.WORK)
+        future = self._store.change_job(job.id, mutate, priority=WritePriority.NORMAL)
         future.add_done_callback(lambda _: self._on_bound(job.id, keys, machines))
 
     def _on_bound(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
@@ -382,7 +382,7 @@
             with self._lock:
                 self._withdraw(key, notify_owner=not is_shown)
             if is_shown and job is not None and job.record is not None:
-                waited_s = max(0.0, self._clock.wall() - job.since)
+                waited_s = max(0.0, self._clock.wall() - job.waiting_since)
                 self._failures.record_machine(key, task.machine)
                 if task.attempt == 1:
                     self._metrics.start_wait.observe(waited_s)
--- a/pulleydeal/recurring/imports.py
+++ b/pulleydeal/recurring/imports.py
@@ -9,9 +9,9 @@
 from pulleydeal.recurring import crontab, mapping, tables
 from pulleydeal.recurring import state as st
 from pulleydeal.recurring.crontab import Entry, Fault
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.submissions.service import refusal
 
 if TYPE_CHECKING:
@@ -146,10 +146,10 @@
             what = f"version {plan.version}: {plan.lines} lines, {len(plan.new)} of them new"
             entry = st.Entry(self._all.clock.wall(), what, f"{plan.gone} are gone")
             last = self._all.interface.told(name, new, entry)
-            if await records.commit(read, last, turn=Turn.WORK):
+            if await records.commit(read, last, priority=WritePriority.NORMAL):
                 self._uploads.pop(name, None)
                 return new
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
         except TooLarge as error:
             raise Problem(422, "too_large", str(error)) from error
@@ -178,7 +178,9 @@
         while left:
             batch, left = left[: kc.BATCH_CHANGES], left[kc.BATCH_CHANGES :]
             marks = {key: read[key] for key, _ in batch if key in read}
-            if not await self._all.records.commit(marks, dict(batch), turn=Turn.LATER):
+            if not await self._all.records.commit(
+                marks, dict(batch), priority=WritePriority.BACKGROUND
+            ):
                 raise Problem(409, "moved", "its marks moved meanwhile: import again")
 
     async def sweep(self, name: str, table: st.Table) -> bool:
@@ -196,4 +198,6 @@
         if not old:
             return False
         read = {st.table_name(name): records.mark(st.table_name(name))}
-        return await records.commit(read, {}, sorted(old)[: kc.BATCH_CHANGES], turn=Turn.LATER)
+        return await records.commit(
+            read, {}, sorted(old)[: kc.BATCH_CHANGES], priority=WritePriority.BACKGROUND
+        )
--- a/pulleydeal/recurring/interface.py
+++ b/pulleydeal/recurring/interface.py
@@ -10,7 +10,7 @@
 from pulleydeal.recurring import decide, tables
 from pulleydeal.recurring import state as st
 from pulleydeal.recurring.imports import Imports
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 
 if TYPE_CHECKING:
     from pulleydeal.recurring.service import Recurring
@@ -187,7 +187,7 @@
         read = {st.table_name(name): self._all.records.mark(st.table_name(name))}
         try:
             done = await self._all.records.commit(read, self.told(name, new, entry))
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
         if not done:
             raise Problem(409, "moved", f"{name} was changed meanwhile: look, and ask again")
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -15,9 +15,9 @@
 from pulleydeal.recurring.decide import Due, Line, Outcome, SteadyWall
 from pulleydeal.recurring.tables import Loaded
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.submissions.service import refusal
 
 log = logging.getLogger("pulleydeal.recurring")
@@ -106,7 +106,7 @@
         """Now and then, what a version that is over has left behind."""
         now = self.clock.now()
         if now >= self._sweep_at.get(name, now + kc.SWEEP_S):
-            with contextlib.suppress(Unavailable, Unknown, TimeoutError):
+            with contextlib.suppress(Unavailable, OutcomeUnknown, TimeoutError):
                 if await self.interface.imports.sweep(name, table):
                     self._sweep_at[name] = now
                     return
@@ -138,7 +138,7 @@
                 batch = self._batch(loaded, due)
                 try:
                     done = await self._write(loaded, batch, now)
-                except (Unavailable, Unknown, TimeoutError, TooLarge) as error:
+                except (Unavailable, OutcomeUnknown, TimeoutError, TooLarge) as error:
                     log.debug("table %s: %s", loaded.name, error)
                     done = False
                 # What was written moves on; what was not is looked at again by its mark, as a
@@ -205,7 +205,7 @@
             why = "; ".join(told)[:600]
             entry = st.Entry(self.clock.wall(), f"{len(told)} instants without a job", why)
             puts |= self.interface.told(name, table, entry)
-        if not await self.records.commit(read, puts, [], also, also_read, Turn.LATER):
+        if not await self.records.commit(read, puts, [], also, also_read, WritePriority.BACKGROUND):
             return False
         for line, found in begun:
             late = max(0.0, self.clock.wall() - found.instant)
@@ -250,7 +250,7 @@
         old = self.replica.jobs.get(st.job_id(name, line.id, mark.job_at))
         if old is not None and old.record is not None and old.record.state == "open":
             key = r.job_key(old.id)
-            also[key] = r.cancelled(
+            also[key] = r.cancelled_record(
                 old.record, old.spec, wall, self.node.partition_policy.defers_cancellations()
             )
             also_read[key] = old.version
--- a/pulleydeal/rollouts/interface.py
+++ b/pulleydeal/rollouts/interface.py
@@ -15,7 +15,7 @@
 from pulleydeal.rollouts import state as st
 from pulleydeal.rollouts.description import Description, DescriptionError, fits, parse
 from pulleydeal.rollouts.seen import Decision, begin, copy_of
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self._all = rollouts
         self._changed: dict[str, asyncio.Event] = {}
         self._held = 0
-        rollouts.replica.listen(self._on_change)
+        rollouts.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         prefix = "rollouts/e/"
@@ -68,7 +68,7 @@
             without = [
                 node
                 for node in self._all.node.membership.nodes()
-                if not self._all.replica.shown.get(node, {}).get("rollouts")
+                if not self._all.replica.node_features.get(node, {}).get("rollouts")
             ]
             why = f" ({', '.join(without)} has not)" if without else ""
             text = f"not every node has shown that it has roll-outs on{why}"
@@ -158,7 +158,7 @@
                 return
         except TooLarge as error:
             raise Problem(422, "too_large", str(error)) from error
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             text = "the state service can't be asked"
             raise Problem(503, "unavailable", text, rc.RETRY_S) from error
         raise Problem(409, "moved", "it changed meanwhile: look, and ask again")
@@ -287,7 +287,7 @@
     async def _write(self, name: str, read: st.Service, decision: Decision) -> bool:
         try:
             return await self._all.carry_out(name, read, decision, None)
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             text = "the state service can't be asked"
             raise Problem(503, "unavailable", text, rc.RETRY_S) from error
 
@@ -369,4 +369,4 @@
         return answer(200, self._endpoints(name))
 
     def _age_s(self) -> float:
-        return self._all.clock.now() - self._all.node.store.current_at
+        return self._all.clock.now() - self._all.node.store.fresh_as_of
--- a/pulleydeal/rollouts/seeing.py
+++ b/pulleydeal/rollouts/seeing.py
@@ -10,7 +10,7 @@
 from pulleydeal.rollouts.seen import Seen, World
 from pulleydeal.rollouts.state import Endpoint, Service, Slot, job_id
 from pulleydeal.store.job import Job
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.store.replica import Replica
 
 
@@ -91,7 +91,7 @@
     failed = task.fails >= rc.FAILS_AGAINST
     if not task.machine:
         watch.bound_at.pop(job.id, None)
-        last = f"; last: {shown(task.why)}" if task.why else ""
+        last = f"; last: {reason_text(task.why)}" if task.why else ""
         if failed:
             return Seen(slot, UNHEALTHY, f"its task failed {task.fails} times{last}")
         why = f"waits for {reason.get(job.id) or 'credit'}{last}"
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -17,9 +17,9 @@
 from pulleydeal.rollouts.seeing import Watch
 from pulleydeal.rollouts.seen import Decision, World
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 
 log = logging.getLogger("pulleydeal.rollouts")
 T = TypeVar("T")
@@ -135,7 +135,7 @@
         try:
             if await self.carry_out(name, service, decision, ready if ready != before else None):
                 watch.next_look = now
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             log.debug("service %s: %s", name, error)
         except TooLarge as error:
             log.error("service %s: %s", name, error)
@@ -188,7 +188,7 @@
                 self._accept(name, slot, wall, also, also_read)
             for slot in decision.stop:
                 self._cancel(name, slot, wall, also, also_read)
-        done = await self.records.commit(marks, puts, drops, also, also_read, Turn.WORK)
+        done = await self.records.commit(marks, puts, drops, also, also_read, WritePriority.NORMAL)
         if done and decision is not None:
             self.writes += 1
             log.info(
@@ -243,7 +243,7 @@
         if job is None or job.record is None or job.record.state != "open":
             return
         key = r.job_key(job.id)
-        also[key] = r.cancelled(
+        also[key] = r.cancelled_record(
             job.record, job.spec, wall, self.node.partition_policy.defers_cancellations()
         )
         also_read[key] = job.version
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -65,7 +65,7 @@
     """Jobs that fit into their team's guarantee together with its earlier unfinished jobs."""
     used: dict[str, Amount] = {}
     guaranteed = set()
-    for job in sorted(jobs, key=lambda j: (j.since, j.id)):
+    for job in sorted(jobs, key=lambda j: (j.waiting_since, j.id)):
         spec = job.spec
         if spec is None or spec.team not in teams:
             continue
@@ -98,7 +98,7 @@
         return 0, 0.0
     if spec.kind == "service":
         return 0, job.bound / spec.tasks
-    age = wall - job.since
+    age = wall - job.waiting_since
     missed_objectives = 0
     for objective in objectives:
         if objective.klass != spec.klass:
@@ -118,7 +118,7 @@
         return missed_objectives, policy.value(
             "order", _policy_inputs(job, spec, age, remaining_work_s)
         )
-    if job.chained:
+    if job.in_pipeline:
         # A late job yields to others, unless it is so small that they lose nothing: otherwise gangs
         # of two tasks waited 38 s behind arrays that belong to later pipelines.
         missed_count = (
@@ -161,7 +161,7 @@
         if objective.klass != spec.klass:
             continue
         if objective.kind == "finished" and objective.within_s is not None:
-            deadlines_s.append(job.since + objective.within_s)
+            deadlines_s.append(job.waiting_since + objective.within_s)
         elif objective.kind == "deadline" and spec.deadline_s is not None:
             deadlines_s.append(record.at + spec.deadline_s * (objective.times or 1.0))
     # Running tasks are half done on average; the estimate is the upper bound of what is left.
@@ -188,7 +188,11 @@
 
     For jobs without such a deadline: when the job became ready.
     """
-    return job.due - job.estimate_s if job.chained and job.due < float("inf") else job.since
+    return (
+        job.due - job.estimate_s
+        if job.in_pipeline and job.due < float("inf")
+        else job.waiting_since
+    )
 
 
 def classes_with_objective(objectives: list[Objective]) -> set[str]:
--- a/pulleydeal/store/client.py
+++ b/pulleydeal/store/client.py
@@ -15,8 +15,8 @@
 from pulleydeal.http import MALFORMED, Client, NoAnswer
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import messages as m
-from pulleydeal.store.rate import Rate, Turn, WriteScheduler
-from pulleydeal.store.records import NOTHING
+from pulleydeal.store.rate import TokenBucket, WritePriority, WriteScheduler
+from pulleydeal.store.records import REVISION_PROBE_KEY
 
 log = logging.getLogger("pulleydeal.store")
 
@@ -28,11 +28,11 @@
     """
 
 
-class Unknown(Exception):
+class OutcomeUnknown(Exception):
     """No response, or an unexpected one: the request may have been executed, or may yet be."""
 
 
-class Refused(Exception):
+class RequestRejected(Exception):
     """The request was rejected (400): it was not executed, and a retry would be rejected again."""
 
 
@@ -49,22 +49,22 @@
 T = TypeVar("T")
 
 
-def _status_error(request: str, status: int) -> Unavailable | Unknown:
+def _status_error(request: str, status: int) -> Unavailable | OutcomeUnknown:
     """Returns the exception for a failed request whose status has no more specific meaning.
 
     Not every 5xx means "not executed": an intermediary answered 502 to commits that had been
     applied, and they were taken as never written (docs/incidents/answers-not-understood.md).
     """
     reason = f"{request}: {status}"
-    return Unavailable(reason) if status in NOT_EXECUTED else Unknown(reason)
+    return Unavailable(reason) if status in NOT_EXECUTED else OutcomeUnknown(reason)
 
 
-def _understood(decoder: Decoder[T], reply: bytes) -> T:
+def _decode_reply(decoder: Decoder[T], reply: bytes) -> T:
     """Decodes a response body. A malformed one counts as no response."""
     try:
         return decoder.decode(reply)
     except MALFORMED as error:
-        raise Unknown(f"malformed response: {error}") from error
+        raise OutcomeUnknown(f"malformed response: {error}") from error
 
 
 class StateClient:
@@ -72,13 +72,13 @@
 
     def __init__(self, address: str, clock: Clock, limits: StateLimits, nodes: int) -> None:
         self._http = Client(address, clock)
-        self._request_rate = Rate(limits.rps / nodes, clock)
+        self._request_rate = TokenBucket(limits.rps / nodes, clock)
         self._write_rps = limits.write_rps * c.WRITE_SHARE
         announced = limits.next.write_rps if limits.next is not None else None
         self._announced_write_rps = (announced or limits.write_rps) * c.WRITE_SHARE
         self._refused_at: deque[float] = deque(maxlen=c.REFUSED_WRITES)
         self._nodes = nodes
-        self._write_rate = Rate(self._write_rps / nodes, clock)
+        self._write_rate = TokenBucket(self._write_rps / nodes, clock)
         self._write_scheduler = WriteScheduler(self._write_rate, clock)
         self.requests = 0
         self.written = 0
@@ -115,7 +115,7 @@
         except NoAnswer as error:
             self._record_outcome(served=False)
             if error.sent:
-                raise Unknown(str(error)) from error
+                raise OutcomeUnknown(str(error)) from error
             raise Unavailable(str(error)) from error
         self._record_outcome(served=status < 500)
         if status == 429:
@@ -129,7 +129,7 @@
             self.served_at = max(self.served_at, sent_at)
         return status, reply
 
-    def share_writes(self, others: list[float | None]) -> None:
+    def adjust_write_rate(self, others: list[float | None]) -> None:
         """Lets this node use the part of the write rate that the other nodes leave unused.
 
         `others`: the writes per second that each other node reports, or None for a node that
@@ -143,8 +143,8 @@
         self._write_rate.set(max(share, available))
 
     async def revision(self) -> int:
-        _, reply = await self._call("GET", f"/store/{NOTHING}")
-        return _understood(m.REVISION, reply).revision
+        _, reply = await self._call("GET", f"/store/{REVISION_PROBE_KEY}")
+        return _decode_reply(m.REVISION, reply).revision
 
     async def page(self, prefix: str, after: str | None) -> m.Page:
         path = f"/store?under={prefix}&limit={c.PAGE_LIMIT}"
@@ -153,7 +153,7 @@
         status, reply = await self._call("GET", path)
         if status != 200:
             raise Unavailable(f"GET {path}: {status}")
-        return _understood(m.PAGE, reply)
+        return _decode_reply(m.PAGE, reply)
 
     async def watch(self, prefix: str, after: int) -> m.Changes:
         path = f"/watch?under={prefix}&after={after}&hold_ms={c.WATCH_HOLD_MS}"
@@ -163,24 +163,24 @@
             raise TooOld
         if status != 200:
             raise Unavailable(f"GET {path}: {status}")
-        return _understood(m.CHANGES, reply)
+        return _decode_reply(m.CHANGES, reply)
 
-    def first_wait_s(self) -> float:
-        """How long a `Turn.FIRST` write queued now would wait."""
-        return self._write_scheduler.first_wait_s()
+    def urgent_wait_s(self) -> float:
+        """How long a `WritePriority.URGENT` write queued now would wait."""
+        return self._write_scheduler.urgent_wait_s()
 
     @property
     def writes_per_s(self) -> float:
         return self._write_rate.per_s
 
-    async def may_write(self, turn: Turn) -> None:
+    async def wait_for_write_slot(self, priority: WritePriority) -> None:
         """Returns when a commit may be made; the caller must make it before any other await."""
-        await self._write_scheduler.wait(turn)
+        await self._write_scheduler.wait(priority)
 
     async def commit(
         self, conditions: dict[str, int], changes: list[dict[str, Any]]
     ) -> tuple[bool, m.Revision]:
-        """Commits one transaction, after `may_write`. Returns whether its conditions held."""
+        """Commits a transaction, after `wait_for_write_slot`. Returns whether it was applied."""
         self._write_rate.spend(len(changes))
         self.written += len(changes)
         body = m.transaction(conditions, changes)
@@ -189,7 +189,7 @@
             self._record_refused_write()
             raise Unavailable("POST /commit: 429")
         if status in (200, 409):
-            return status == 200, _understood(m.REVISION, reply)
+            return status == 200, _decode_reply(m.REVISION, reply)
         if status == 400 and b"lease" in reply:
             raise LeaseLost
         if status == 400:
@@ -197,7 +197,7 @@
                 str(change.get("set", change.get("drop"))): len(change.get("data", b""))
                 for change in changes
             }
-            raise Refused(f"POST /commit: 400 {reply[:200]!r}, bytes by key: {sizes}")
+            raise RequestRejected(f"POST /commit: 400 {reply[:200]!r}, bytes by key: {sizes}")
         raise _status_error("POST /commit", status)
 
     def _record_refused_write(self) -> None:
@@ -221,7 +221,7 @@
         status, reply = await self._call("POST", "/holds", {"ttl_ms": ttl_ms})
         if status != 200:
             raise _status_error("POST /holds", status)
-        return _understood(m.GRANTED, reply).lease
+        return _decode_reply(m.GRANTED, reply).lease
 
     async def renew(self, lease: int) -> None:
         status, _ = await self._call("POST", f"/holds/{lease}/renew", {})
--- a/pulleydeal/store/draft.py
+++ b/pulleydeal/store/draft.py
@@ -7,7 +7,7 @@
 from pulleydeal.store.facts import Fact
 from pulleydeal.store.job import Job
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.reasons import short
+from pulleydeal.store.reasons import reason_code
 from pulleydeal.store.replica import Replica
 
 
@@ -26,7 +26,7 @@
         self.facts: list[Fact] = []
         self.untold = job.record.untold
         self.conditions = {
-            r.VIEW: replica.view_version,
+            r.VIEW_KEY: replica.view_version,
             r.job_key(job.id): job.version,
         }
         self.puts: dict[str, object] = {}
@@ -91,7 +91,7 @@
         else:
             # The record was written under larger limits and no longer fits. Every draft is also
             # conditional on the view's version, so rewriting the view has the same effect.
-            self.puts[r.VIEW] = self.replica.view
+            self.puts[r.VIEW_KEY] = self.replica.view
 
     def finish(self) -> None:
         """Determines whether the job is over, and what has to be written."""
@@ -103,7 +103,7 @@
                 continue
             for task in tasks:
                 # An older version wrote reasons in full; unless shortened, they may not fit.
-                task.why, task.stop = short(task.why), short(task.stop)
+                task.why, task.stop = reason_code(task.why), reason_code(task.stop)
             if self.journaled:
                 self.facts += self._changed_facts(k, tasks, before)
             else:
@@ -154,7 +154,7 @@
 
     def _job_record(self, record: r.JobRecord, ended: float) -> r.JobRecord:
         """The new record, with the spec: it is needed to count tasks that are not proved gone."""
-        status = r.written(self.status, self.journaled)
+        status = r.stored_status(self.status, self.journaled)
         new = r.JobRecord(status, record.tasks, record.at, self.spec, ended, self.untold)
         if not self._limits.fits(msgspec.json.encode(new)):
             # Accepted under larger limits: drop what is only needed to start tasks.
--- a/pulleydeal/store/facts.py
+++ b/pulleydeal/store/facts.py
@@ -2,8 +2,8 @@
 
 A chunk holds the state of 32 tasks of one job and is changed by compare-and-set. A fact holds the
 whole state of one task, as its writer knew it, and facts of several writers are merged instead.
-`joined` is commutative, associative and idempotent, so every replica reaches the same state, no
-matter in which order and how often it reads the facts (a state-based CRDT; Shapiro et al., "A
+`merge_tasks` is commutative, associative and idempotent, so every replica reaches the same state,
+no matter in which order and how often it reads the facts (a state-based CRDT; Shapiro et al., "A
 comprehensive study of Convergent and Commutative Replicated Data Types", 2011).
 
 Task states are ordered by attempt, and within an attempt: bound, to be stopped, done but still on
@@ -32,7 +32,7 @@
 SEPARATOR_B = 1  # comma between two items
 
 
-def joined(one: Task, other: Task) -> Task:
+def merge_tasks(one: Task, other: Task) -> Task:
     """Merges two states of the same task."""
     if one.attempt != other.attempt:
         return _normalized(one if one.attempt > other.attempt else other)
@@ -64,7 +64,7 @@
     return max(task.why for task in (one, other) if not task.machine)
 
 
-def packed(facts: Iterable[Fact], value_b: int) -> list[list[Fact]]:
+def split_into_values(facts: Iterable[Fact], value_b: int) -> list[list[Fact]]:
     """Splits the facts, in order, into lists that each encode to at most `value_b` bytes.
 
     A single fact that is larger gets a list of its own.
--- a/pulleydeal/store/job.py
+++ b/pulleydeal/store/job.py
@@ -28,16 +28,16 @@
     spec: r.JobSpec | None = None
     chunks: dict[int, Chunk] = field(default_factory=dict)
     done: int = 0  # number of tasks done
-    on_machines: dict[int, r.Task] = field(default_factory=dict)  # bound, not proved gone
-    last_stop: str = ""  # why one of its tasks was last stopped or ended
+    bound_tasks: dict[int, r.Task] = field(default_factory=dict)  # bound, not proved gone
+    last_stop_reason: str = ""  # why one of its tasks was last stopped or ended
     # Derived from the jobs that it waits on and those that wait on it (pipelines.py):
     waits_on: list[str] | None = None  # None: no dependencies, or over
     linked: bool = False  # registered with its dependencies
-    chained: bool = False  # has had dependencies or dependents
+    in_pipeline: bool = False  # has had dependencies or dependents
     blockers: MutableSet[str] = field(default_factory=lambda: NO_BLOCKERS)  # dependencies not done
     # A dependency was cancelled, so this job counts as cancelled; its own record may not say so.
     dependency_cancelled: bool = False
-    since: float = 0.0  # wall clock: accepted, and last dependency done; waiting counts from here
+    waiting_since: float = 0.0  # wall clock: accepted and last dependency done
     priority: int = 0
     due: float = float("inf")  # wall clock: latest end for its own and its dependents' deadlines
 
@@ -60,7 +60,7 @@
     @property
     def has_begun(self) -> bool:
         """Whether any of its tasks was ever started, as far as its records show."""
-        return bool(self.on_machines or self.done or self.last_stop)
+        return bool(self.bound_tasks or self.done or self.last_stop_reason)
 
     @property
     def is_over(self) -> bool:
@@ -83,7 +83,7 @@
 
     @property
     def bound(self) -> int:
-        return len(self.on_machines)
+        return len(self.bound_tasks)
 
     def task(self, index: int) -> r.Task:
         chunk = self.chunks.get(index // c.CHUNK_TASKS)
@@ -97,7 +97,7 @@
         return sum(task.fails for chunk in self.chunks.values() for task in chunk.tasks)
 
     def bindings(self) -> list[tuple[int, r.Task]]:
-        return list(self.on_machines.items())
+        return list(self.bound_tasks.items())
 
     def waiting(self, most: int) -> list[int]:
         """Indexes of the first `most` tasks neither bound nor done; skips chunks without any."""
--- a/pulleydeal/store/limits.py
+++ b/pulleydeal/store/limits.py
@@ -46,7 +46,7 @@
             )
 
 
-def tightest(state: StateLimits) -> Limits:
+def effective_limits(state: StateLimits) -> Limits:
     """The lower of the current and the announced limits."""
     value_kb, ops = state.value_kb, state.txn_ops
     if state.next is not None:
--- a/pulleydeal/store/pipelines.py
+++ b/pulleydeal/store/pipelines.py
@@ -35,7 +35,7 @@
             for name in self._dependents.get(job.id, ()):
                 dependent = self._jobs[name]
                 dependent.blockers.discard(job.id)
-                dependent.since = max(dependent.since, record.ended)
+                dependent.waiting_since = max(dependent.waiting_since, record.ended)
                 touched.add(name)
         if record.state == "cancelled" or self._depends_on_cancelled(job):
             self._propagate_cancellation(job, touched)
@@ -47,7 +47,7 @@
         record = job.record
         assert record is not None and record.spec is not None
         job.linked = True
-        job.since = record.at
+        job.waiting_since = record.at
         if record.spec.waits_on:
             job.blockers = set()
             job.waits_on = record.spec.waits_on
@@ -59,7 +59,7 @@
                 and dependency.record is not None
                 and dependency.record.state == "done"
             ):
-                job.since = max(job.since, dependency.record.ended)
+                job.waiting_since = max(job.waiting_since, dependency.record.ended)
             else:
                 job.blockers.add(name)
 
@@ -115,7 +115,7 @@
                 dependent = self._jobs[name]
                 priority = max(priority, dependent.priority)
                 due = min(due, dependent.due - dependent.estimate_s)
-            job.chained = job.chained or bool(own.waits_on or dependents)
+            job.in_pipeline = job.in_pipeline or bool(own.waits_on or dependents)
             if (priority, due) == (job.priority, job.due) and job.spec is not None:
                 continue
             job.priority, job.due = priority, due
--- a/pulleydeal/store/rate.py
+++ b/pulleydeal/store/rate.py
@@ -8,15 +8,15 @@
 from pulleydeal.clock import Clock
 
 
-class Turn(IntEnum):
+class WritePriority(IntEnum):
     """Priority of a write; lower values go first when the write rate is exhausted."""
 
-    FIRST = 0  # user requests and membership: few, and may overdraw a little
-    WORK = 1  # bindings, task ends and stops, in order of arrival
-    LATER = 2  # background writes; they go first once they have waited WRITE_PATIENCE_S
+    URGENT = 0  # user requests and membership: few, and may overdraw a little
+    NORMAL = 1  # bindings, task ends and stops, in order of arrival
+    BACKGROUND = 2  # background writes; they go first once they have waited WRITE_PATIENCE_S
 
 
-class Rate:
+class TokenBucket:
     """A token bucket that holds at most one second's tokens; urgent callers may overdraw it."""
 
     def __init__(self, per_s: float, clock: Clock) -> None:
@@ -77,50 +77,50 @@
     several tokens at once never found enough: arrays of seven chunks waited minutes for a binding.
     """
 
-    def __init__(self, rate: Rate, clock: Clock) -> None:
+    def __init__(self, rate: TokenBucket, clock: Clock) -> None:
         self._rate = rate
         self._clock = clock
-        self._queues: dict[Turn, deque[tuple[float, asyncio.Future[None]]]] = {
-            turn: deque() for turn in Turn
+        self._queues: dict[WritePriority, deque[tuple[float, asyncio.Future[None]]]] = {
+            priority: deque() for priority in WritePriority
         }
         self._dispatcher: asyncio.Task[None] | None = None
-        self._last_turn = Turn.WORK
+        self._last_priority = WritePriority.NORMAL
 
-    async def wait(self, turn: Turn) -> None:
+    async def wait(self, priority: WritePriority) -> None:
         """Returns when the caller is admitted. It must spend before awaiting anything else."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._queues[turn].append((self._clock.now(), future))
+        self._queues[priority].append((self._clock.now(), future))
         if self._dispatcher is None or self._dispatcher.done():
             self._dispatcher = asyncio.ensure_future(self._dispatch())
         await future
 
-    def _next_turn(self) -> Turn | None:
-        background = self._queues[Turn.LATER]
+    def _next_priority(self) -> WritePriority | None:
+        background = self._queues[WritePriority.BACKGROUND]
         if background and self._clock.now() - background[0][0] > c.WRITE_PATIENCE_S:
-            return Turn.LATER
-        # Under heavy user load a FIRST write is always waiting. Without every second turn for
-        # WORK, no submitted task would start while the load lasts.
-        if self._is_work_starving() and self._last_turn is Turn.FIRST:
-            return Turn.WORK
-        return next((turn for turn, queue in self._queues.items() if queue), None)
-
-    def _is_work_starving(self) -> bool:
-        queue = self._queues[Turn.WORK]
+            return WritePriority.BACKGROUND
+        # Under heavy user load an URGENT write is always waiting. Without every second turn for
+        # NORMAL, no submitted task would start while the load lasts.
+        if self._is_normal_starved() and self._last_priority is WritePriority.URGENT:
+            return WritePriority.NORMAL
+        return next((priority for priority, queue in self._queues.items() if queue), None)
+
+    def _is_normal_starved(self) -> bool:
+        queue = self._queues[WritePriority.NORMAL]
         return bool(queue) and self._clock.now() - queue[0][0] > c.WRITE_PATIENCE_S
 
-    def first_wait_s(self) -> float:
-        """How long a FIRST writer that came now would wait."""
-        wait = self._rate.wait_s(len(self._queues[Turn.FIRST]))
-        return 2 * wait if self._is_work_starving() else wait
+    def urgent_wait_s(self) -> float:
+        """How long an URGENT writer that came now would wait."""
+        wait = self._rate.wait_s(len(self._queues[WritePriority.URGENT]))
+        return 2 * wait if self._is_normal_starved() else wait
 
     async def _dispatch(self) -> None:
-        while (turn := self._next_turn()) is not None:
-            pause = self._rate.pause(turn is Turn.FIRST)
+        while (priority := self._next_priority()) is not None:
+            pause = self._rate.pause(priority is WritePriority.URGENT)
             if pause > 0:
-                await asyncio.sleep(min(pause, c.WRITE_LOOK_S))  # a FIRST writer may come meanwhile
+                await asyncio.sleep(min(pause, c.WRITE_LOOK_S))  # an URGENT one may come
                 continue
-            _, future = self._queues[turn].popleft()
+            _, future = self._queues[priority].popleft()
             if not future.done():
-                self._last_turn = turn
+                self._last_priority = priority
                 future.set_result(None)
                 await asyncio.sleep(0)  # it spends now, before the next one is admitted
--- a/pulleydeal/store/reasons.py
+++ b/pulleydeal/store/reasons.py
@@ -9,7 +9,7 @@
 from pulleydeal.store.records import PRIORITIES
 
 MADE_ROOM = "made room for"
-RETURNED = "its machine is not needed any more and goes back"
+MACHINE_RETURNED = "its machine is not needed any more and goes back"
 _TEXTS = {
     "n": "the cloud takes its spot machine back",
     "g": "its machine is gone",
@@ -27,7 +27,7 @@
     "x": "unknown",
     "s": "stopped",
     "i": "lost",
-    "r": RETURNED,
+    "r": MACHINE_RETURNED,
     "m": f"{MADE_ROOM} other work",
     "o": "another reason; the log has it",
 } | {f"m{i}": f"{MADE_ROOM} work of {name} priority" for i, name in enumerate(PRIORITIES)}
@@ -35,7 +35,7 @@
 CODES = frozenset(_TEXTS)
 
 
-def short(reason: str) -> str:
+def reason_code(reason: str) -> str:
     """The code to store for a reason, which may be a sentence or already a code."""
     if not reason or reason in _TEXTS:
         return reason
@@ -47,11 +47,11 @@
     return "o"
 
 
-def made_room(priority: int) -> str:
+def preemption_reason(priority: int) -> str:
     """The reason for stopping a task to make room for work of this priority."""
     return _TEXTS[f"m{priority}"]
 
 
-def shown(stored: str) -> str:
+def reason_text(stored: str) -> str:
     """The sentence for a stored reason."""
     return _TEXTS.get(stored, stored)
--- a/pulleydeal/store/records.py
+++ b/pulleydeal/store/records.py
@@ -25,20 +25,20 @@
 import msgspec
 from msgspec import Struct
 
-PREFIX = "p/"
-VIEW = "p/view"
-CATALOG = "p/catalog"
-JOURNAL = "p/l/"
+KEY_PREFIX = "p/"
+VIEW_KEY = "p/view"
+CATALOG_KEY = "p/catalog"
+JOURNAL_PREFIX = "p/l/"
 FEATURE_NAME = r"^[A-Za-z0-9._-]{1,40}(/[A-Za-z0-9._-]{1,60}){0,4}$"  # keys are limited to 200 B
-NOTHING = "p-nothing"  # never written; reading it returns only the revision
+REVISION_PROBE_KEY = "p-nothing"  # never written; reading it returns only the revision
 
 Status = Literal["open", "done", "cancelled"]
 # Status as stored. Versions without the journal can't decode the last three, so they load nothing
 # while such a job exists. Otherwise they would take its tasks for never started.
-WrittenStatus = Literal[
+StoredStatus = Literal[
     "open", "done", "cancelled", "journal-open", "journal-done", "journal-cancelled"
 ]
-JOURNALED = "journal-"
+JOURNALED_PREFIX = "journal-"
 MachineState = Literal["boot", "up", "drain", "gone"]
 PRIORITIES = ("low", "normal", "high", "production")
 
@@ -68,7 +68,7 @@
 
 
 class JobRecord(Struct, omit_defaults=True):
-    status: WrittenStatus
+    status: StoredStatus
     tasks: int
     at: float = 0.0  # wall clock: accepted
     spec: JobSpec | None = None  # None once the job is over and all its tasks are gone
@@ -82,7 +82,7 @@
     @property
     def is_journaled(self) -> bool:
         """Whether its task states are in journals; False for a slim record."""
-        return self.status.startswith(JOURNALED)
+        return self.status.startswith(JOURNALED_PREFIX)
 
 
 class Task(Struct, array_like=True, omit_defaults=True):
@@ -147,7 +147,7 @@
     types: list[MachineType] = []
 
 
-_STATES: dict[WrittenStatus, Status] = {
+_STATES: dict[StoredStatus, Status] = {
     "open": "open",
     "done": "done",
     "cancelled": "cancelled",
@@ -155,20 +155,20 @@
     "journal-done": "done",
     "journal-cancelled": "cancelled",
 }
-_WRITTEN: dict[Status, WrittenStatus] = {
+_WRITTEN: dict[Status, StoredStatus] = {
     "open": "journal-open",
     "done": "journal-done",
     "cancelled": "journal-cancelled",
 }
 
 
-def written(state: Status, journaled: bool) -> WrittenStatus:
+def stored_status(state: Status, journaled: bool) -> StoredStatus:
     """The stored status for a job's state; slim records have the plain state."""
     return _WRITTEN[state] if journaled else state
 
 
-def cancelled(old: JobRecord, spec: JobSpec | None, wall: float, untold: bool) -> JobRecord:
-    status = written("cancelled", old.is_journaled and spec is not None)
+def cancelled_record(old: JobRecord, spec: JobSpec | None, wall: float, untold: bool) -> JobRecord:
+    status = stored_status("cancelled", old.is_journaled and spec is not None)
     return JobRecord(status, old.tasks, old.at, spec, wall, untold)
 
 
@@ -193,7 +193,7 @@
 
 
 def journal_key(start: str, number: str) -> str:
-    return f"{JOURNAL}{start}/{number}"
+    return f"{JOURNAL_PREFIX}{start}/{number}"
 
 
 def types_key(index: int) -> str:
--- a/pulleydeal/store/replica.py
+++ b/pulleydeal/store/replica.py
@@ -53,7 +53,7 @@
         # are not enabled here are not kept.
         self._features: dict[str, dict[str, tuple[bytes, int]]] = {}
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
-        self.open_changes = 0  # incremented when a job record changes, and on each reload
+        self.job_changes = 0  # incremented when a job record changes, and on each reload
         self._clear()
 
     def _clear(self) -> None:
@@ -66,19 +66,19 @@
         self.machines: dict[str, Machine] = {}
         self.rentals: dict[str, Rental] = {}
         self.members: dict[str, str] = {}
-        self.formats: dict[str, int] = {}  # member -> record format of its version
-        self.software: dict[str, int] = {}  # node -> the same, kept while it is away
-        self.shown: dict[str, dict[str, int]] = {}  # node -> its enabled features
+        self.member_formats: dict[str, int] = {}  # member -> record format of its version
+        self.node_formats: dict[str, int] = {}  # node -> the same, kept while it is away
+        self.node_features: dict[str, dict[str, int]] = {}  # node -> its enabled features
         for records in self._features.values():
             records.clear()
         self.view = r.View()
         self.view_version = 0
         self.catalog = r.Catalog()
-        self.more_types: dict[str, r.Catalog] = {}  # those that do not fit into the catalog's value
+        self.extra_types: dict[str, r.Catalog] = {}  # not in the catalog's value
         self.types: dict[str, r.MachineType] = {}
-        self.bound: dict[str, dict[TaskId, r.Task]] = {}
+        self.tasks_by_machine: dict[str, dict[TaskId, r.Task]] = {}
         self.zone_of: dict[str, str] = {}  # machine -> zone
-        self.open_changes += 1
+        self.job_changes += 1
         self._pipelines = Pipelines(self.jobs)
         self._affected_jobs: set[str] = set()  # changed by facts or by other jobs, not yet notified
         self._usage: dict[str, tuple[float, float]] = {}  # team -> cpus, gpus of its bound tasks
@@ -92,7 +92,7 @@
         # Deleted key -> version of its delete, until the replica's revision has reached it.
         self._deleted: dict[str, int] = {}
 
-    def keep_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
+    def track_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
         """Keeps this feature's records from the next load on. Returns the dict that holds them."""
         return self._features.setdefault(feature, {})
 
@@ -100,7 +100,7 @@
         """The version for a commit's condition on this key; 0 if the key is absent."""
         return self._versions.get(key, 0)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         self._listeners.append(listener)
 
     # --- changes ------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         self._notify([t for t in touched if t is not None])
         self._wake_waiters()
 
-    def committed(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
+    def apply_commit(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
         """Applies this node's own committed transaction before the watch delivers it."""
         touched = []
         with self._lock:
@@ -152,7 +152,7 @@
         if version <= max(self._versions.get(key, 0), self._deleted.get(key, 0)):
             return None
         self._versions[key] = version
-        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")
         if kind == "j":
             self._set_job(suffix, r.JOB.decode(value), version)
             return "job", suffix
@@ -173,11 +173,14 @@
         if kind == "n":
             member = r.MEMBER.decode(value)
             self.members[suffix] = member.incarnation
-            self.formats[suffix] = member.format
+            self.member_formats[suffix] = member.format
             return "member", suffix
         if kind == "s":
             software = r.SOFTWARE.decode(value)
-            self.software[suffix], self.shown[suffix] = software.format, software.features
+            self.node_formats[suffix], self.node_features[suffix] = (
+                software.format,
+                software.features,
+            )
             return "software", suffix
         if kind == "f":
             feature, _, name = suffix.partition("/")
@@ -193,7 +196,7 @@
             self.catalog = r.CATALOG_DECODER.decode(value)
             return self._update_types()
         if kind == "t":
-            self.more_types[suffix] = r.CATALOG_DECODER.decode(value)
+            self.extra_types[suffix] = r.CATALOG_DECODER.decode(value)
             return self._update_types()
         return None
 
@@ -202,7 +205,7 @@
             return None
         self._versions.pop(key, None)
         self._deleted[key] = version
-        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")
         if kind == "c":
             job, _, index = suffix.partition("/")
             self._drop_chunk(job, int(index, 16))
@@ -219,10 +222,10 @@
             return "rental", suffix
         if kind == "n":
             self.members.pop(suffix, None)
-            self.formats.pop(suffix, None)
+            self.member_formats.pop(suffix, None)
             return "member", suffix
         if kind == "t":
-            self.more_types.pop(suffix, None)
+            self.extra_types.pop(suffix, None)
             return self._update_types()
         if kind == "f":
             feature, _, name = suffix.partition("/")
@@ -231,7 +234,7 @@
         return None
 
     def _update_types(self) -> tuple[str, str]:
-        more = [t for _, catalog in sorted(self.more_types.items()) for t in catalog.types]
+        more = [t for _, catalog in sorted(self.extra_types.items()) for t in catalog.types]
         self.types = {t.name: t for t in [*self.catalog.types, *more]}
         return "catalog", ""
 
@@ -255,7 +258,7 @@
             job.spec = None
         self._affected_jobs |= self._pipelines.update(job)
         self._add_usage(job, job.bound)  # chunks may be loaded before their job's spec
-        self.open_changes += 1
+        self.job_changes += 1
         facts_before_job = self._facts_before_job.pop(job_id, None)
         if facts_before_job is not None:
             self._merge(facts_before_job)
@@ -286,7 +289,7 @@
                 tasks = changed[(fact.job, k)] = self._copy_tasks(job, job.record.tasks, k)
             if offset < len(tasks):
                 known = tasks[offset]
-                tasks[offset] = facts.joined(known, fact.task)
+                tasks[offset] = facts.merge_tasks(known, fact.task)
                 self._track_merged(fact, known, tasks[offset])
         for (job_id, k), tasks in changed.items():
             self._set_chunk(job_id, k, tasks, 0)
@@ -298,7 +301,7 @@
         elif merged != known:
             self._merged_tasks.setdefault(fact.job, set()).add(fact.index)
 
-    def is_combined(self, job: str, index: int) -> bool:
+    def is_merged(self, job: str, index: int) -> bool:
         """Whether the state of a journaled job's task was merged from several facts."""
         return index in self._merged_tasks.get(job, ())
 
@@ -324,10 +327,10 @@
             self._unindex(job, task_index, previous)
             job.done += task.done
             if not task.done:
-                job.last_stop = task.stop or task.why or job.last_stop
+                job.last_stop_reason = task.stop or task.why or job.last_stop_reason
             if task.machine:
-                job.on_machines[task_index] = task
-                self.bound.setdefault(task.machine, {})[(job_id, task_index)] = task
+                job.bound_tasks[task_index] = task
+                self.tasks_by_machine.setdefault(task.machine, {})[(job_id, task_index)] = task
                 self._rebound_machines.add(task.machine)
                 self._add_usage(job, 1)
         job.chunks[chunk_index] = Chunk(version, tasks, waiting)
@@ -343,15 +346,15 @@
         job.done -= task.done
         if task.machine:
             self._rebound_machines.add(task.machine)
-            del job.on_machines[task_index]
+            del job.bound_tasks[task_index]
             self._add_usage(job, -1)
-            on_machine = self.bound[task.machine]
+            on_machine = self.tasks_by_machine[task.machine]
             del on_machine[(job.id, task_index)]
             if not on_machine:
-                del self.bound[task.machine]
+                del self.tasks_by_machine[task.machine]
 
     # --- waiting ------------------------------------------------------------------------
-    async def reach(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Returns once the replica is at least as new as `revision`."""
         if self.loaded and self.revision >= revision:
             return
--- a/pulleydeal/store/service.py
+++ b/pulleydeal/store/service.py
@@ -15,15 +15,15 @@
 from pulleydeal.store import records as r
 from pulleydeal.store.client import (
     LeaseLost,
-    Refused,
+    OutcomeUnknown,
+    RequestRejected,
     StateClient,
     TooOld,
     Unavailable,
-    Unknown,
 )
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.limits import Limits, TooLarge
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 
 log = logging.getLogger("pulleydeal.store")
@@ -32,10 +32,10 @@
 class FactWriter(Protocol):
     """Writes task state changes of journaled jobs to the journal (`pulleydeal/journal`)."""
 
-    def takes(self, spec: r.JobSpec) -> bool:
+    def accepts(self, spec: r.JobSpec) -> bool:
         """Whether a job that is accepted now is to be journaled."""
 
-    async def append(self, job: str, make: "MakeDraft", turn: "Turn") -> bool:
+    async def append(self, job: str, make: "DraftFactory", priority: "WritePriority") -> bool:
         """Makes the facts of a job's draft durable, and leaves the replica at least as new.
 
         Returns True also when there are none; False when versions changed too often or the job
@@ -43,9 +43,9 @@
         """
 
 
-MakeDraft = Callable[[], Draft | None]
+DraftFactory = Callable[[], Draft | None]
 Mutator = Callable[[Draft], None]
-Change = tuple[Mutator, Turn, asyncio.Future[bool]]
+Change = tuple[Mutator, WritePriority, asyncio.Future[bool]]
 
 
 class Backoff:
@@ -81,15 +81,15 @@
         self.limits = limits
         # The replica is at least as new as this time. It is the send time of the request that
         # showed it: the answer may be delayed, and a watch may stay open through an outage.
-        self.current_at = -1e9
-        self._barrier: asyncio.Future[tuple[float, int]] | None = None
+        self.fresh_as_of = -1e9
+        self._pending_read: asyncio.Future[tuple[float, int]] | None = None
         self._pending_changes: dict[str, list[Change]] = {}
         self._drain_tasks: dict[tuple[str, bool], asyncio.Task[None]] = {}
         self.journal: FactWriter | None = None
 
-    def journals(self, spec: r.JobSpec) -> bool:
+    def should_journal(self, spec: r.JobSpec) -> bool:
         """Whether a job that is accepted now is to be journaled."""
-        return self.journal is not None and self.journal.takes(spec)
+        return self.journal is not None and self.journal.accepts(spec)
 
     # --- watching -----------------------------------------------------------------------
     async def follow(self) -> None:
@@ -100,7 +100,7 @@
                 if not self.replica.loaded:
                     await self._load()
                 watch_started = self._clock.now()
-                changes = await self.client.watch(r.PREFIX, self.replica.revision)
+                changes = await self.client.watch(r.KEY_PREFIX, self.replica.revision)
                 self.replica.apply(changes)
                 # An empty watch shows nothing if the service refuses this node's requests. If it
                 # served one since the watch began, the watch would have delivered any change.
@@ -113,22 +113,22 @@
             except TooOld:
                 log.info("watch revision is too old to resume: reloading the replica")
                 await self._load()
-            except (Unavailable, Unknown) as error:
+            except (Unavailable, OutcomeUnknown) as error:
                 log.debug("watch: %s", error)
                 await backoff.pause()
 
     def _mark_current(self, requested_at: float) -> None:
         """Records that the replica holds all that the service held at `requested_at`."""
-        self.current_at = max(self.current_at, requested_at)
+        self.fresh_as_of = max(self.fresh_as_of, requested_at)
 
     async def _load(self) -> None:
         requested_at = self._clock.now()
-        page = await self.client.page(r.PREFIX, None)
+        page = await self.client.page(r.KEY_PREFIX, None)
         # The watch replays events after the first page's revision; versions resolve the overlap.
         first_revision = page.revision
         pages = [page]
         while page.more:
-            page = await self.client.page(r.PREFIX, page.items[-1].key)
+            page = await self.client.page(r.KEY_PREFIX, page.items[-1].key)
             pages.append(page)
         self.replica.begin_load()
         for page in pages:
@@ -137,25 +137,25 @@
         self._mark_current(requested_at)
         log.info("replica loaded at revision %d, %d jobs", first_revision, len(self.replica.jobs))
 
-    async def fresh(self) -> None:
+    async def ensure_fresh(self) -> None:
         """Returns once the replica is at least as new as this call; raises Unavailable.
 
         Callers share reads: each joins the pending read that has not been sent yet.
         """
         try:
             async with asyncio.timeout(c.FRESH_TIMEOUT_S):
-                if self._barrier is None:
-                    self._barrier = asyncio.ensure_future(self._read_revision())
-                    self._barrier.add_done_callback(take_failure)
-                requested_at, revision = await asyncio.shield(self._barrier)
-                await self.replica.reach(revision)
+                if self._pending_read is None:
+                    self._pending_read = asyncio.ensure_future(self._read_revision())
+                    self._pending_read.add_done_callback(take_failure)
+                requested_at, revision = await asyncio.shield(self._pending_read)
+                await self.replica.wait_for_revision(revision)
                 self._mark_current(requested_at)
-        except (TimeoutError, Unknown) as error:
+        except (TimeoutError, OutcomeUnknown) as error:
             raise Unavailable("replica freshness not confirmed in time") from error
 
     async def _read_revision(self) -> tuple[float, int]:
         await asyncio.sleep(c.FRESH_GATHER_S)  # lets concurrent callers share this read
-        self._barrier = None  # later callers need a new read
+        self._pending_read = None  # later callers need a new read
         return self._clock.now(), await self.client.revision()
 
     # --- committing ---------------------------------------------------------------------
@@ -165,14 +165,15 @@
         puts: dict[str, object],
         deletes: list[str] | None = None,
         lease: dict[str, int] | None = None,
-        turn: Turn | None = Turn.FIRST,
+        priority: WritePriority | None = WritePriority.URGENT,
     ) -> bool:
         """Commits one transaction, conditional on the versions in `conditions`.
 
         Returns True once it is committed and in the replica, or False if a condition failed and
-        the replica is at least as new as that failure. Raises Unavailable, Unknown, Refused or
-        LeaseLost, TimeoutError if the replica does not catch up, and TooLarge for a transaction
-        that exceeds the limits. `turn` is None if the caller has already been admitted.
+        the replica is at least as new as that failure. Raises Unavailable, OutcomeUnknown,
+        RequestRejected or LeaseLost, TimeoutError if the replica does not catch up, and TooLarge
+        for a transaction that exceeds the limits. `priority` is None if the caller has already
+        been admitted.
         """
         encoded = {key: msgspec.json.encode(value) for key, value in puts.items()}
         self.limits.check(conditions, encoded, deletes or [])
@@ -181,29 +182,31 @@
             m.put(key, msgspec.Raw(value), leases.get(key)) for key, value in encoded.items()
         ]
         changes += [m.delete(key) for key in deletes or []]
-        if turn is not None:
-            await self.client.may_write(turn)
+        if priority is not None:
+            await self.client.wait_for_write_slot(priority)
         ok, outcome = await self.client.commit(conditions, changes)
-        if ok and r.VIEW not in puts:
-            self.replica.committed(encoded, deletes or [], outcome.revision)
+        if ok and r.VIEW_KEY not in puts:
+            self.replica.apply_commit(encoded, deletes or [], outcome.revision)
         else:
             # A new view must not be visible before everything committed under the old one: a
             # node that takes ownership without seeing a binding would kill a running task.
             async with asyncio.timeout(c.COMMIT_WAIT_S):
-                await self.replica.reach(outcome.revision)
+                await self.replica.wait_for_revision(outcome.revision)
         return ok
 
-    def change_job(self, job: str, mutate: Mutator, turn: Turn) -> asyncio.Future[bool]:
+    def change_job(
+        self, job: str, mutate: Mutator, priority: WritePriority
+    ) -> asyncio.Future[bool]:
         """Queues a change of a job. Changes queued until it is admitted share one transaction.
 
         `mutate` is applied to the newest record and may run several times. The future's result
         is whether the batch was written.
         """
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._pending_changes.setdefault(job, []).append((mutate, turn, future))
+        self._pending_changes.setdefault(job, []).append((mutate, priority, future))
         # User requests have a writer of their own, so that they do not wait behind changes of
         # lower priority. The first of the two to be admitted takes all pending changes along.
-        queue_key = (job, turn is Turn.FIRST)
+        queue_key = (job, priority is WritePriority.URGENT)
         if queue_key not in self._drain_tasks:
             self._drain_tasks[queue_key] = asyncio.ensure_future(self._drain(queue_key))
         return future
@@ -240,7 +243,7 @@
                     if not outcome_unknown and self._is_empty(self._build_draft(job_id, batch)):
                         return True  # the changes were only facts: no admission needed
                 queued = self._pending_changes.get(job_id, [])
-                await self.client.may_write(self._turn([*batch, *queued]))
+                await self.client.wait_for_write_slot(self._highest_priority([*batch, *queued]))
                 batch += self._pending_changes.pop(job_id, [])
                 if not batch:
                     return True
@@ -256,18 +259,20 @@
                 if not draft.puts and not draft.deletes:
                     return True
                 try:
-                    ok = await self.commit(draft.conditions, draft.puts, draft.deletes, turn=None)
+                    ok = await self.commit(
+                        draft.conditions, draft.puts, draft.deletes, priority=None
+                    )
                     break
                 except (Unavailable, TimeoutError) as error:
                     log.debug("commit of %s: %s", job_id, error)
                     await backoff.pause()
-                except (TooLarge, Refused) as error:
+                except (TooLarge, RequestRejected) as error:
                     # A retry would be refused again.
                     log.error(
                         "job %s: dropping changes that can never be committed: %s", job_id, error
                     )
                     return False
-                except Unknown as error:
+                except OutcomeUnknown as error:
                     # The transaction may be applied late, so read back first. In any case the
                     # version conditions admit at most one of it and its successor.
                     log.debug("commit of %s: %s", job_id, error)
@@ -282,8 +287,8 @@
         job = self.replica.jobs.get(job_id)
         return job is not None and job.is_journaled
 
-    def _turn(self, changes: list[Change]) -> Turn:
-        return min((turn for _, turn, _ in changes), default=Turn.LATER)
+    def _highest_priority(self, changes: list[Change]) -> WritePriority:
+        return min((priority for _, priority, _ in changes), default=WritePriority.BACKGROUND)
 
     def _build_draft(self, job_id: str, batch: list[Change]) -> Draft | None:
         """Drafts the changes to the newest record; None if the job is unknown or fully over."""
@@ -310,12 +315,14 @@
             log.error("job %s is journaled but this node has no journal writer", job_id)
             return False
         queued = self._pending_changes.get(job_id, [])
-        return await self.journal.append(job_id, make_draft, self._turn([*batch, *queued]))
+        return await self.journal.append(
+            job_id, make_draft, self._highest_priority([*batch, *queued])
+        )
 
     async def _read_back(self, backoff: Backoff) -> None:
         while True:
             try:
-                await self.fresh()
+                await self.ensure_fresh()
                 return
             except Unavailable:
                 await backoff.pause()
@@ -326,10 +333,10 @@
     while True:
         try:
             await step()
-        except (Unavailable, Unknown, LeaseLost, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, LeaseLost, TimeoutError) as error:
             log.debug("%s: %s", name, error)
             await asyncio.sleep(c.LOOP_PAUSE_S)
-        except (TooLarge, Refused) as error:
+        except (TooLarge, RequestRejected) as error:
             log.error("%s: change can never be committed: %s", name, error)
             await asyncio.sleep(c.LOOP_PAUSE_S)
         except Exception:  # an unexpected error must not end the loop
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -18,11 +18,11 @@
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Team
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.store.service import Store
 from pulleydeal.submissions import messages as m
 from pulleydeal.submissions.admission import Admission
@@ -111,7 +111,7 @@
         try:
             async with asyncio.timeout(c.COMMIT_WAIT_S):
                 response = await coroutine
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             log.debug("%s %s: %s", request.method, request.path, error)
             response = answer(503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S)
         if response.status == 503 and self._membership.shut_out():
@@ -124,7 +124,7 @@
     def _overload_answer(self) -> Response | None:
         """The answer to a write that could not be made in time; None if there is time for it."""
         client = self._store.client
-        wait_s, per_s = client.first_wait_s(), client.writes_per_s
+        wait_s, per_s = client.urgent_wait_s(), client.writes_per_s
         retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, per_s)
         if retry_s is None:
             return None
@@ -148,14 +148,14 @@
             return reply
         if (reply := self._overload_answer()) is not None:
             return reply
-        status = r.written("open", self._store.journals(spec))
+        status = r.stored_status("open", self._store.should_journal(spec))
         record = r.JobRecord(status, spec.tasks, self._clock.wall(), spec)
         reason = self._size_error(record)
         if reason:
             return await self._reject(spec.id, 422, reason)
         key = r.job_key(spec.id)
         for _ in range(c.SCRATCH_TRIES):
-            conditions = {key: 0, r.VIEW: self._replica.view_version}
+            conditions = {key: 0, r.VIEW_KEY: self._replica.view_version}
             if await self._store.commit(conditions, {key: record}):
                 self._metrics.accepted.inc()
                 log.info(
@@ -185,7 +185,7 @@
             return answer(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
         if any(name not in jobs for name in spec.waits_on):
-            await self._store.fresh()  # another node may have accepted one a moment ago
+            await self._store.ensure_fresh()  # another node may have accepted one a moment ago
         for name in spec.waits_on:
             job = jobs.get(name)
             if job is None or job.record is None:
@@ -197,7 +197,7 @@
 
     def _size_error(self, record: r.JobRecord) -> str:
         """Why the record is too large for a value in its largest state; empty if it fits."""
-        status = r.written("cancelled", record.is_journaled)
+        status = r.stored_status("cancelled", record.is_journaled)
         longest = msgspec.structs.replace(record, status=status, ended=record.at)
         size = len(msgspec.json.encode(longest))
         limit = self._store.limits.value_b
@@ -207,7 +207,7 @@
 
     async def _reject(self, job: str, status: int, reason: str) -> Response:
         """The error answer, except that a repeated submission of an accepted job is always 200."""
-        await self._store.fresh()
+        await self._store.ensure_fresh()
         if job in self._replica.jobs:
             return await self.show(job)
         return answer(status, {"error": reason})
@@ -227,7 +227,7 @@
         if not JOB_ID.match(job_id):
             return None
         if not self._is_final(self._replica.jobs.get(job_id)):
-            await self._store.fresh()
+            await self._store.ensure_fresh()
         return self._replica.jobs.get(job_id)
 
     # --- show -------------------------------------------------------------------------------
@@ -266,7 +266,7 @@
             if self._partition_policy.may_confirm_cancel(draft.job):
                 draft.untold = False
 
-        await asyncio.shield(self._store.change_job(job.id, confirm, turn=Turn.FIRST))
+        await asyncio.shield(self._store.change_job(job.id, confirm, priority=WritePriority.URGENT))
 
     def _is_final(self, job: Job | None) -> bool:
         return job is not None and job.is_over and not self._unconfirmed(job)
@@ -291,7 +291,7 @@
             waiting = f"waits for {', '.join(named)}" + (f" and {more} more" if more else "")
         elif job.done + job.bound < job.record.tasks:
             waiting = f"waits for {self._waiting_reason(job.id) or 'credit'}"
-        stopped = job.last_stop and f"last stop: {shown(job.last_stop)}"
+        stopped = job.last_stop_reason and f"last stop: {reason_text(job.last_stop_reason)}"
         return "; ".join(part for part in (waiting, stopped) if part)
 
     # --- cancel -----------------------------------------------------------------------------
@@ -303,7 +303,7 @@
             if (reply := self._overload_answer()) is not None:
                 return reply
             await asyncio.shield(
-                self._store.change_job(job_id, self._mark_cancelled, turn=Turn.FIRST)
+                self._store.change_job(job_id, self._mark_cancelled, priority=WritePriority.URGENT)
             )
             log.info("job %s: cancellation requested by its user", job_id, extra={"job": job_id})
         if self._unconfirmed(job) and await self._partition_policy.wait_until_confirmable(job):
--- a/pulleydeal/workers/commander.py
+++ b/pulleydeal/workers/commander.py
@@ -109,7 +109,7 @@
 
     def _may_start(self, machine: str, start: AttemptId) -> bool:
         job, index, attempt = start
-        task = self._replica.bound.get(machine, {}).get((job, index))
+        task = self._replica.tasks_by_machine.get(machine, {}).get((job, index))
         return task is not None and task.attempt == attempt and start not in self._exits.pending
 
     def on_send(self, order: Order, waited_s: float) -> None:
--- a/pulleydeal/workers/desired.py
+++ b/pulleydeal/workers/desired.py
@@ -15,7 +15,7 @@
     `relayed`: cancelled jobs that another node announced and the local copy may not show yet.
     """
     found = {}
-    for task_id, task in replica.bound.get(machine, {}).items():
+    for task_id, task in replica.tasks_by_machine.get(machine, {}).items():
         job = replica.jobs[task_id[0]]
         if job.spec is None:
             continue
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -12,8 +12,8 @@
 from pulleydeal.membership.service import Membership
 from pulleydeal.settings import WorkerTimes
 from pulleydeal.store import records as r
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.reasons import RETURNED
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.reasons import MACHINE_RETURNED
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_stop
 from pulleydeal.workers.commander import Commander
@@ -122,14 +122,14 @@
         old = self._replica.machines[machine]
         record = msgspec.structs.replace(old.record, state="drain", why=why, at=self._clock.wall())
         key = r.machine_key(machine)
-        conditions = {key: old.version, r.VIEW: self._replica.view_version}
+        conditions = {key: old.version, r.VIEW_KEY: self._replica.view_version}
         if await self._store.commit(conditions, {key: record}):
             log.info("machine %s marked for drain: %s", machine, why, extra={"machine": machine})
 
     def _drain_for_notice(self, tracked: TrackedMachine, now: float) -> None:
         """Stops tasks as late as possible before the cloud reclaims the spot machine."""
         assert tracked.notice_at is not None
-        for (job_id, index), task in self._replica.bound.get(tracked.id, {}).items():
+        for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if spec is None or task.stop:
                 continue
@@ -142,17 +142,19 @@
 
     def _stop_idle_work(self, tracked: TrackedMachine) -> None:
         """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
-        for (job_id, index), task in self._replica.bound.get(tracked.id, {}).items():
+        for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if (
                 spec is not None
                 and not task.stop
                 and rules.is_idle_time_work(spec, self._objective_classes)
             ):
-                self.stop(job_id, index, task.attempt, RETURNED)
+                self.stop(job_id, index, task.attempt, MACHINE_RETURNED)
 
     def stop(self, job_id: str, index: int, attempt: int, why: str) -> None:
         """Requests an orderly stop of a task and its gang; the reason is stored."""
         self._store.change_job(
-            job_id, partial(apply_stop, index=index, attempt=attempt, why=why), turn=Turn.WORK
+            job_id,
+            partial(apply_stop, index=index, attempt=attempt, why=why),
+            priority=WritePriority.NORMAL,
         )
--- a/pulleydeal/workers/exits.py
+++ b/pulleydeal/workers/exits.py
@@ -9,8 +9,8 @@
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.store.service import Store
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.changes import apply_exit
@@ -53,7 +53,7 @@
         self._decisions.write(
             Decision(
                 Action.END,
-                f"{task_exit.outcome}: {shown(task_exit.detail)}",
+                f"{task_exit.outcome}: {reason_text(task_exit.detail)}",
                 m.task_name(task_exit.job, task_exit.index),
                 task_exit.attempt,
                 task_exit.machine,
@@ -63,7 +63,9 @@
         )
         self._metrics.stops.labels(task_exit.outcome).inc()
         future = self._store.change_job(
-            task_exit.job, partial(self._apply_if_proved, tracked, task_exit), turn=Turn.WORK
+            task_exit.job,
+            partial(self._apply_if_proved, tracked, task_exit),
+            priority=WritePriority.NORMAL,
         )
         future.add_done_callback(partial(self._finish, tracked.id, attempt_id))
 
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -105,7 +105,7 @@
         self._full_round_at = -1e9  # steady time of the last round over all owned machines
         # Called with the id of a machine whose credit may have changed.
         self.on_credit_change: Callable[[str], None] = _ignore
-        store.replica.listen(self._on_change)
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "job":
@@ -193,7 +193,7 @@
 
     def _bound_on(self, machine: str) -> set[AttemptId]:
         """Attempts that an earlier owner, or this node before a restart, may have started there."""
-        bound = self._replica.bound.get(machine, {})
+        bound = self._replica.tasks_by_machine.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
     def silent(self, tracked: TrackedMachine) -> bool:
@@ -257,7 +257,7 @@
         """
         limit_s, now = self._max_staleness_s, self._clock.now()
         return (
-            vouching.may_renew(self._store.current_at, limit_s, now)
+            vouching.may_renew(self._store.fresh_as_of, limit_s, now)
             or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
             or self._partition_policy.may_renew_while_stale(zone)
         )
--- a/pulleydeal/zones/monitor.py
+++ b/pulleydeal/zones/monitor.py
@@ -115,7 +115,7 @@
         for name, machine in self._replica.machines.items():
             if machine.record.zone != zone or machine.record.state not in ("up", "drain"):
                 continue
-            bound = self._replica.bound.get(name, {})
+            bound = self._replica.tasks_by_machine.get(name, {})
             jobs = [self._replica.jobs[job] for job in {job for job, _ in bound}]
             found.append(
                 losses.LostMachine(
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -81,7 +81,7 @@
         )
         self._deafness_monitor = DeafnessMonitor(context, self.peer_observations, self._all_enabled)
         self._siblings.on(NODE_STATUS, self._on_status)
-        self._replica.listen(self._on_change)
+        self._replica.add_listener(self._on_change)
 
     # --- the feature interface --------------------------------------------------------------
     async def start(self) -> None:
@@ -167,7 +167,7 @@
             self._membership.epoch,
             self._replica.loaded and self._membership.is_member,
             self._all_enabled(),
-            now - self._store.current_at,
+            now - self._store.fresh_as_of,
             peer_silence_s,
         )
 
@@ -231,7 +231,7 @@
             contact
             for node, contact in self._contacts.items()
             if (contact.zone in zones or None in zones)
-            and self._replica.shown.get(node, {}).get("zones")
+            and self._replica.node_features.get(node, {}).get("zones")
         ]
         return decide.may_confirm_cancel(peers, job.version)
 
--- a/standins/cron_engine.py
+++ b/standins/cron_engine.py
@@ -16,7 +16,7 @@
 from pulleydeal.settings import Team
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import Replica
 
@@ -40,7 +40,7 @@
         self.trouble = 0.0  # share of transactions without an answer
         self.transactions = 0
         self.kept: dict[str, m.Event] = {}  # for nodes that come later
-        self.apply({}, {r.VIEW: msgspec.json.encode(r.View(1))}, [])
+        self.apply({}, {r.VIEW_KEY: msgspec.json.encode(r.View(1))}, [])
 
     def apply(self, read: dict[str, int], puts: dict[str, bytes], drops: list[str]) -> bool:
         if any(self.marks.get(key, 0) != mark for key, mark in read.items()):
@@ -70,7 +70,7 @@
         """Another leads from now on: the view moves, so what the one before sends fails."""
         self.leader = name
         self.leads += 1
-        self.apply({}, {r.VIEW: msgspec.json.encode(r.View(self.revision))}, [])
+        self.apply({}, {r.VIEW_KEY: msgspec.json.encode(r.View(self.revision))}, [])
 
     def catch_up(self) -> None:
         for at, read, puts, drops in [x for x in self.late if x[0] <= self.now]:
@@ -126,7 +126,7 @@
         read: dict[str, int],
         puts: dict[str, object],
         drops: list[str] | None = None,
-        turn: object = None,
+        priority: object = None,
     ) -> bool:
         world = self.world
         raw = {key: msgspec.json.encode(value) for key, value in puts.items()}
@@ -139,7 +139,7 @@
                 world.apply(read, raw, drops or [])
             elif which == 1:
                 world.late.append((world.now + world.rng.uniform(1, 90), read, raw, drops or []))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         done = world.apply(read, raw, drops or [])
         self.follow()
         return done
--- a/standins/owner.py
+++ b/standins/owner.py
@@ -83,7 +83,7 @@
         self._siblings = _Siblings(self)
         self._workers = _Workers(self)
         type_ = r.MachineType("t4", 8.0, gpus, 8.0, 100.0, 0.5, 4.0, 1.0, 20.0, ZONES)
-        self._put(r.CATALOG, r.Catalog([type_]))
+        self._put(r.CATALOG_KEY, r.Catalog([type_]))
         for machine, zone in machines.items():
             record = r.MachineRecord("up", "t4", zone, False)
             self._put(r.machine_key(machine), record)
@@ -132,7 +132,7 @@
 
     def join(self, member: str, incarnation: str) -> None:
         members = self.replica.view.members | {"winch-0": "0", member: incarnation}
-        self._put(r.VIEW, r.View(3, members))
+        self._put(r.VIEW_KEY, r.View(3, members))
 
     def hear_images(self, cached: CachedImages) -> None:
         self._run(self._handle(IMAGES, pack_cached_images(cached)))
--- a/tests/model/journal.py
+++ b/tests/model/journal.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from pulleydeal.store.facts import joined
+from pulleydeal.store.facts import merge_tasks
 from pulleydeal.store.records import Task
 
 MACHINE = "vm-1"
@@ -96,7 +96,7 @@
     found = {job: Task() for job in JOBS}
     for entry in entries:
         for job, attempt, bound in entry.facts if entry is not None else ():
-            found[job] = joined(found[job], Task(MACHINE if bound else "", attempt))
+            found[job] = merge_tasks(found[job], Task(MACHINE if bound else "", attempt))
     return found
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from pulleydeal import constants as c
-from pulleydeal.store.rate import Rate, Turn, WriteScheduler
+from pulleydeal.store.rate import TokenBucket, WritePriority, WriteScheduler
 from pulleydeal.submissions.admission import Admission
 from standins.script import LoopClock, virtually
 
@@ -38,19 +38,19 @@
 
     async def work(clock: LoopClock) -> None:
         nonlocal admitted, refused
-        rate = Rate(16.0, clock)
+        rate = TokenBucket(16.0, clock)
         scheduler = WriteScheduler(rate, clock)
         admission = Admission()
 
         async def write() -> None:
             arrived_at = clock.now()
-            await scheduler.wait(Turn.FIRST)
+            await scheduler.wait(WritePriority.URGENT)
             rate.spend(1)
             waits.append(clock.now() - arrived_at)
 
         writes = []
         for _ in range(1600):
-            if admission.retry_after_s(clock.now(), scheduler.first_wait_s(), 16.0) is None:
+            if admission.retry_after_s(clock.now(), scheduler.urgent_wait_s(), 16.0) is None:
                 writes.append(asyncio.ensure_future(write()))
                 admitted += 1
             else:
@@ -65,24 +65,24 @@
 
 
 def test_work_gets_every_second_turn_while_users_never_stop() -> None:
-    order: list[Turn] = []
+    order: list[WritePriority] = []
 
     async def work(clock: LoopClock) -> None:
-        rate = Rate(10.0, clock)
+        rate = TokenBucket(10.0, clock)
         scheduler = WriteScheduler(rate, clock)
 
-        async def write(turn: Turn) -> None:
-            await scheduler.wait(turn)
+        async def write(priority: WritePriority) -> None:
+            await scheduler.wait(priority)
             rate.spend(1)
-            order.append(turn)
+            order.append(priority)
 
-        writes = [asyncio.ensure_future(write(Turn.WORK)) for _ in range(150)]
+        writes = [asyncio.ensure_future(write(WritePriority.NORMAL)) for _ in range(150)]
         for _ in range(400):
-            writes.append(asyncio.ensure_future(write(Turn.FIRST)))
+            writes.append(asyncio.ensure_future(write(WritePriority.URGENT)))
             await asyncio.sleep(0.05)
         for task in writes:
             task.cancel()
 
     virtually(work)
     late = order[-60:]
-    assert 25 <= late.count(Turn.WORK) <= 35
+    assert 25 <= late.count(WritePriority.NORMAL) <= 35
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -15,8 +15,8 @@
 from pulleydeal.http import MALFORMED, Client, Request, Response, Server, answer
 from pulleydeal.settings import SettingsError, Team, load
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
-from pulleydeal.store.client import _understood as understood_state
+from pulleydeal.store.client import OutcomeUnknown
+from pulleydeal.store.client import _decode_reply as understood_state
 from pulleydeal.store.messages import CHANGES, PAGE, REVISION
 from pulleydeal.submissions import messages as m
 from pulleydeal.submissions.service import refusal
@@ -144,7 +144,7 @@
     ):
         with pytest.raises(MALFORMED):
             decoder.decode(nested)
-    with pytest.raises(Unknown):
+    with pytest.raises(OutcomeUnknown):
         understood_state(PAGE, nested)
     with pytest.raises(CloudError):
         understood_cloud(LISTING_DECODER, nested)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -137,7 +137,7 @@
         r.job_key("j-2"): r.JobRecord("done", 1, 1.0),
         r.machine_key("vm-1"): r.MachineRecord("up", "t4", "east", False),
     }
-    node.replica.committed({k: msgspec.json.encode(v) for k, v in puts.items()}, [], 5)
+    node.replica.apply_commit({k: msgspec.json.encode(v) for k, v in puts.items()}, [], 5)
     return node
 
 
@@ -188,7 +188,7 @@
     replica = node.replica
 
     def put(key: str, value: object, version: int) -> None:
-        replica.committed({key: msgspec.json.encode(value)}, [], version)
+        replica.apply_commit({key: msgspec.json.encode(value)}, [], version)
 
     put(r.feature_key("trial", "a/b"), {"x": 1}, 6)
     put(r.feature_key("other", "a"), {"x": 2}, 7)
@@ -196,7 +196,7 @@
     assert records.get("a/b", dict) == {"x": 1} and records.get("none", dict) is None
     replica.end_load(7)
     node.membership.enter()
-    put(r.VIEW, r.View(1, {"winch-0": node.membership.incarnation}), 8)
+    put(r.VIEW_KEY, r.View(1, {"winch-0": node.membership.incarnation}), 8)
     for version, name in enumerate(("winch-0", "winch-1"), 10):
         put(r.software_key(name), r.Software(2, "0.3.0", {"trial": 2}), version)
     put(r.software_key("winch-2"), r.Software(2, "0.3.0"), 12)
@@ -215,7 +215,7 @@
     asked: list[tuple[dict[str, int], list[str]]] = []
 
     async def commit(
-        conditions: dict[str, int], puts: dict[str, object], drops: list[str], turn: object
+        conditions: dict[str, int], puts: dict[str, object], drops: list[str], priority: object
     ) -> bool:
         asked.append((conditions, [*puts, *drops]))
         return True
@@ -223,7 +223,7 @@
     node.store.commit = commit  # type: ignore[method-assign, assignment]
     done = records.commit({"a": 3, "b": 0}, {"a": 1}, ["b"], {"p/j/j-1": 1}, {"p/j/j-1": 0})
     assert asyncio.run(done)
-    conditions = {r.VIEW: 0, "p/f/trial/a": 3, "p/f/trial/b": 0, "p/j/j-1": 0}
+    conditions = {r.VIEW_KEY: 0, "p/f/trial/a": 3, "p/f/trial/b": 0, "p/j/j-1": 0}
     assert asked == [(conditions, ["p/f/trial/a", "p/j/j-1", "p/f/trial/b"])]
 
 
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -70,7 +70,7 @@
 
     replica = FakeStore.replica
     same = f"{random.Random(7).getrandbits(48):012x}"
-    written = {r.VIEW: r.View(4, {"winch-0": same}), r.member_key("winch-0"): r.Member(same)}
+    written = {r.VIEW_KEY: r.View(4, {"winch-0": same}), r.member_key("winch-0"): r.Member(same)}
     for version, (key, value) in enumerate(written.items(), 1):
         event = sm.Event(version, key, None, msgspec.Raw(msgspec.json.encode(value)))
         replica.apply(sm.Changes(version, [event]))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,11 +16,11 @@
 from pulleydeal.journal.service import Journal
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
+from pulleydeal.store.client import OutcomeUnknown
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import FACTS, Fact, joined, packed
+from pulleydeal.store.facts import FACTS, Fact, merge_tasks, split_into_values
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff
 from pulleydeal.workers.changes import apply_exit, apply_stop
@@ -49,18 +49,20 @@
 # --- how facts combine ---------------------------------------------------------------------------
 def test_facts_combine_in_any_order_and_any_number_of_times() -> None:
     """Exhaustive over pairs and triples of states: a join, so copies that read alike are alike."""
-    settled = [joined(r.Task(), state) for state in STATES]
+    settled = [merge_tasks(r.Task(), state) for state in STATES]
     for one, other in itertools.product(settled, repeat=2):
-        both = joined(one, other)
-        assert both == joined(other, one)
-        assert joined(both, one) == both == joined(both, other)
+        both = merge_tasks(one, other)
+        assert both == merge_tasks(other, one)
+        assert merge_tasks(both, one) == both == merge_tasks(both, other)
     for one, two, three in itertools.product(settled, repeat=3):
-        assert joined(joined(one, two), three) == joined(one, joined(two, three))
+        assert merge_tasks(merge_tasks(one, two), three) == merge_tasks(
+            one, merge_tasks(two, three)
+        )
 
 
 def test_what_is_proved_gone_or_done_stays_so_within_its_attempt() -> None:
     for one, other in itertools.product(STATES, repeat=2):
-        both = joined(one, other)
+        both = merge_tasks(one, other)
         same = [task for task in (one, other) if task.attempt == both.attempt]
         assert both.attempt == max(one.attempt, other.attempt)
         assert both.done == any(task.done for task in same)
@@ -106,7 +108,7 @@
         facts = drafted(replica, change).facts
         assert facts
         for fact in facts:
-            assert joined(bound, fact.task) == fact.task != bound
+            assert merge_tasks(bound, fact.task) == fact.task != bound
 
 
 def test_a_gang_member_that_is_done_stays_done_whoever_writes_its_end() -> None:
@@ -131,7 +133,7 @@
     replica.end_load(5)
     put(replica, 6, {r.job_key("j-1"): r.JobRecord("journal-open", 40, 1.0, SPEC)})
     assert replica.jobs["j-1"].task(3) == r.Task("vm-1", 1)
-    assert replica.bound == {"vm-1": {("j-1", 3): r.Task("vm-1", 1)}}
+    assert replica.tasks_by_machine == {"vm-1": {("j-1", 3): r.Task("vm-1", 1)}}
     assert replica.usage() == {"t": (1.0, 1.0)}
 
 
@@ -139,7 +141,7 @@
     replica = a_job(r.Task("", 1, True))
     put(replica, 3, {r.job_key("j-1"): r.JobRecord("done", 1, 1.0)})
     put(replica, 4, {"p/l/n.2/00000000": [Fact("j-1", 0, r.Task("vm-1", 1))]})
-    assert not replica.bound and not replica.jobs["j-1"].bound
+    assert not replica.tasks_by_machine and not replica.jobs["j-1"].bound
 
 
 def test_copies_come_to_the_same_state_in_whatever_order_they_read() -> None:
@@ -154,7 +156,7 @@
         tasks = [replica.jobs["j-1"].task(i) for i in range(40)]
         seen.add(msgspec.json.encode(tasks))
         on = Counter(t.machine for t in tasks if t.machine)
-        assert {machine: len(b) for machine, b in replica.bound.items()} == dict(on)
+        assert {machine: len(b) for machine, b in replica.tasks_by_machine.items()} == dict(on)
     assert len(seen) == 1
 
 
@@ -202,7 +204,7 @@
         for place in tidy.drops:
             replica.apply(m.Changes(5000, [m.Event(5000, None, f"p/l/{place}")]))
     assert tidy is not None and len(tidy.drops) == c.JOURNAL_RESTATED
-    assert len(packed(tidy.restated, LIMITS.value_b)) == 1
+    assert len(split_into_values(tidy.restated, LIMITS.value_b)) == 1
     put(replica, 6000, {r.job_key("j-1"): r.JobRecord("done", 40, 1.0)})
     over = decide.tidying(replica.journals, mine, replica, LIMITS)
     assert over is not None and not over.restated
@@ -227,18 +229,18 @@
 
 # --- one append ----------------------------------------------------------------------------------
 def test_an_append_holds_as_much_as_the_limits_allow_and_no_more() -> None:
-    batch = decide.Batch(LIMITS, {r.VIEW: 1})
+    batch = decide.Batch(LIMITS, {r.VIEW_KEY: 1})
     jobs = 0
     while True:
         replica = a_job(*[r.Task("vm-1", 1)] * 4)
         draft = drafted(replica, ended("lost", jobs % 4))
-        draft.conditions = {f"p/j/j-{jobs}": 1, r.VIEW: 1}
+        draft.conditions = {f"p/j/j-{jobs}": 1, r.VIEW_KEY: 1}
         if not batch.take(draft):
             break
         jobs += 1
     assert jobs == LIMITS.conditions - 2  # the view, each job, and the value's own name
     assert len(batch.values()) == 1 and len(batch.facts) == jobs
-    small = decide.Batch(Limits(2 * 1024, 4), {r.VIEW: 1})
+    small = decide.Batch(Limits(2 * 1024, 4), {r.VIEW_KEY: 1})
     large = a_job(*[r.Task("vm-1", 1)] * 384)
     many = drafted(large, lambda draft: [ended("lost", i)(draft) for i in range(384)] and None)
     assert len(many.facts) == 384 and not small.take(many) and not small.facts
@@ -246,7 +248,7 @@
 
 def test_values_are_filled_in_order() -> None:
     facts = [Fact(f"j-{i}", i, r.Task("vm-000001", i)) for i in range(500)]
-    values = packed(facts, LIMITS.value_b)
+    values = split_into_values(facts, LIMITS.value_b)
     assert [fact for value in values for fact in value] == facts
     sizes = [len(msgspec.json.encode(value)) for value in values]
     assert max(sizes) <= LIMITS.value_b and min(sizes[:-1]) > 0.98 * LIMITS.value_b
@@ -268,10 +270,10 @@
         self.journal = Journal(self, self, Backoff(random.Random(1)))  # type: ignore[arg-type]
         self.journal._next = 1
 
-    async def may_write(self, _: Turn) -> None:
+    async def wait_for_write_slot(self, _: WritePriority) -> None:
         return
 
-    async def fresh(self) -> None:
+    async def ensure_fresh(self) -> None:
         return
 
     def apply(
@@ -297,10 +299,10 @@
         fate = self.plan.pop(0) if self.plan else "answered"
         if fate == "late":
             self.held.append((conditions, puts))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         done = self.apply(conditions, puts, drops)
         if fate == "unanswered":
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         return done
 
     def leads(self, _: str) -> bool:
@@ -312,7 +314,7 @@
 
         async def run() -> bool:
             async with asyncio.timeout(5.0):
-                return await self.journal.append("j-1", make, Turn.WORK)
+                return await self.journal.append("j-1", make, WritePriority.NORMAL)
 
         return asyncio.run(run())
 
@@ -365,8 +367,8 @@
         asyncio.run(node.journal.tidy())
     assert [node.apply(*held) for held in node.held] == [False]
     assert len(values_of(node)) == 2
-    put(node.replica, 50, {r.VIEW: r.View(2, {"n": "1"})})
-    node.keys[r.VIEW] = 50  # made under the view before, it can't come any more
+    put(node.replica, 50, {r.VIEW_KEY: r.View(2, {"n": "1"})})
+    node.keys[r.VIEW_KEY] = 50  # made under the view before, it can't come any more
     asyncio.run(node.journal.tidy())
     assert len(values_of(node)) == 1
     assert [node.apply(*held) for held in node.held] == [False]
@@ -381,7 +383,7 @@
 def test_an_append_made_under_an_older_view_is_not_written() -> None:
     """Its writer may not lead the job, or own the machine, any more."""
     node = OneNode(r.Task("vm-1", 1))
-    node.keys[r.VIEW] = 9  # moved, and not seen here yet
+    node.keys[r.VIEW_KEY] = 9  # moved, and not seen here yet
     assert not node.append(ended("lost")) and len(values_of(node)) == 1
 
 
@@ -403,7 +405,7 @@
 def test_a_version_without_the_journal_reads_no_job_whose_tasks_it_would_not_see() -> None:
     """It would take them for never started; as it can't load, it is no member."""
     for status in ("open", "cancelled", "done"):
-        written = r.written(status, True)  # type: ignore[arg-type]
+        written = r.stored_status(status, True)  # type: ignore[arg-type]
         encoded = msgspec.json.encode(r.JobRecord(written, 1, 1.0, SPEC))
         with pytest.raises(msgspec.ValidationError):
             msgspec.json.decode(encoded, type=production.JobRecord)
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -10,10 +10,10 @@
 from pulleydeal import constants as c
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Store
 
@@ -46,7 +46,7 @@
                 self.keys.pop(change["drop"], None)
         return True
 
-    async def may_write(self, turn: Turn) -> None:
+    async def wait_for_write_slot(self, priority: WritePriority) -> None:
         await asyncio.sleep(0)
 
     async def commit(
@@ -56,7 +56,7 @@
         answer = self.answers.pop(0) if self.answers else ""
         if answer == "lost":
             self.delayed.append((conditions, changes))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         if answer == "refused":
             raise Unavailable("503")
         ok = answer != "conflict" and self.apply(conditions, changes)
@@ -99,7 +99,7 @@
         assert service.apply({}, [m.put(r.job_key("j-1"), record, None)])
         node.replica.apply(m.Changes(1, [m.Event(1, r.job_key("j-1"), None, record)]))
         service.answers = ["lost", *["conflict"] * (c.SCRATCH_TRIES + 3)]
-        return service, await node.change_job("j-1", bind, Turn.WORK)
+        return service, await node.change_job("j-1", bind, WritePriority.NORMAL)
 
     service, ok = asyncio.run(run())
     assert ok
@@ -130,7 +130,7 @@
 
         for step, mutate in enumerate((bind, stop, gone)):
             service.answers = ["lost"] if step == lost else []
-            assert await node.change_job("j-1", mutate, Turn.WORK)
+            assert await node.change_job("j-1", mutate, WritePriority.NORMAL)
         return service
 
     service = asyncio.run(run())
@@ -158,7 +158,7 @@
             calls.append(1)
 
         service.answers = ["lost"]
-        assert await node.change_job("j-1", bind_once, Turn.WORK)
+        assert await node.change_job("j-1", bind_once, WritePriority.NORMAL)
         return service
 
     service = asyncio.run(run())
--- a/tests/test_pending_end.py
+++ b/tests/test_pending_end.py
@@ -30,7 +30,7 @@
 
     wall = now
 
-    def change_job(self, job: str, mutate: Any, turn: Any) -> asyncio.Future[bool]:
+    def change_job(self, job: str, mutate: Any, priority: Any) -> asyncio.Future[bool]:
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.queued.append((mutate, future))
         return future
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -29,7 +29,7 @@
         self.replica = Replica()
         self.replica.loaded = True
         self.notified: list[str] = []
-        self.replica.listen(
+        self.replica.add_listener(
             lambda kind, name: self.notified.append(name) if kind == "job" else None
         )
 
@@ -74,9 +74,9 @@
     assert cluster.job("j-3").blockers == {"j-2"} and "j-3" in cluster.notified
     cluster.end("j-1", "done", 30.0)
     cluster.end("j-2", "done", 20.0)
-    assert cluster.job("j-3").is_ready and cluster.job("j-3").since == 30.0
+    assert cluster.job("j-3").is_ready and cluster.job("j-3").waiting_since == 30.0
     cluster.submit("j-4", "j-1", at=99.0)
-    assert cluster.job("j-4").is_ready and cluster.job("j-4").since == 99.0
+    assert cluster.job("j-4").is_ready and cluster.job("j-4").waiting_since == 99.0
 
 
 def test_dependency_without_end_time_leaves_waiting_time_at_submission() -> None:
@@ -84,7 +84,7 @@
     cluster.submit("j-1")
     cluster.put("j-1", r.JobRecord("done", 2))
     cluster.submit("j-2", "j-1", at=7.0)
-    assert cluster.job("j-2").is_ready and cluster.job("j-2").since == 7.0
+    assert cluster.job("j-2").is_ready and cluster.job("j-2").waiting_since == 7.0
 
 
 def test_cancellation_reaches_all_transitive_dependents_at_once_and_stays() -> None:
@@ -184,8 +184,8 @@
             other = reloaded.jobs[name]
             assert (job.is_cancelled, job.is_ready) == (other.is_cancelled, other.is_ready)
             if job.is_open:
-                assert (job.since, job.due, job.priority) == (
-                    other.since,
+                assert (job.waiting_since, job.due, job.priority) == (
+                    other.waiting_since,
                     other.due,
                     other.priority,
                 )
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -115,7 +115,7 @@
     array = job("j-1", 4, estimate_s=30.0)
     assert rules.job_rank(array, objectives, 60.0) == (0, 120.0)
     assert rules.job_rank(array, objectives, 80.0) == (1, 120.0)
-    array.last_stop = "m"  # it has begun; tests/test_waiting_turns.py has the other case
+    array.last_stop_reason = "m"  # it has begun; tests/test_waiting_turns.py has the other case
     assert rules.job_rank(array, objectives, 180.0) == (2, 120.0)
     due = job("j-2", deadline_s=50.0, estimate_s=30.0)
     assert rules.job_rank(due, [Objective("deadline", "c", None, 2.0)], 60.0) == (0, 30.0)
@@ -143,7 +143,7 @@
     unavailable = {("t4", zone, True) for zone in ZONES}
     running = job("j-1", 8, spot=True, estimate_s=60.0)
     for index in range(4):
-        running.on_machines[index] = r.Task(f"vm-{index}", 1)
+        running.bound_tasks[index] = r.Task(f"vm-{index}", 1)
     assert plan.expected_ends([running], 30.0) == 2.0
     state = plan_state(running, unavailable=unavailable)
     state.expected_ends = 2.0
@@ -168,7 +168,7 @@
     assert rented(100.0) == 0  # waits for spot or free room
     assert rented(100.0, "c") == 2  # the class has a time objective
     assert rented(301.0) == 2  # it must not starve
-    idle.on_machines = {0: r.Task("vm-1", 1), 1: r.Task("vm-2", 1)}
+    idle.bound_tasks = {0: r.Task("vm-1", 1), 1: r.Task("vm-2", 1)}
     assert rented(301.0) == 0  # half of its tasks run
     short = job("j-2", 4, spot=True, priority=0, estimate_s=4.0)
     assert not plan.is_price_sensitive(short, short.spec, set(), 61.0)  # type: ignore[arg-type]
--- a/tests/test_rate.py
+++ b/tests/test_rate.py
@@ -7,7 +7,7 @@
 from pulleydeal import constants as c
 from pulleydeal.settings import NextLimits, StateLimits
 from pulleydeal.store.client import StateClient
-from pulleydeal.store.rate import Rate, Turn, WriteScheduler
+from pulleydeal.store.rate import TokenBucket, WritePriority, WriteScheduler
 from standins.script import LoopClock, virtually
 
 
@@ -15,11 +15,11 @@
     order: list[str] = []
 
     async def work(clock: LoopClock) -> None:
-        rate = Rate(10.0, clock)
+        rate = TokenBucket(10.0, clock)
         scheduler = WriteScheduler(rate, clock)
 
         async def write(name: str, changes: int) -> None:
-            await scheduler.wait(Turn.WORK)
+            await scheduler.wait(WritePriority.NORMAL)
             rate.spend(changes)
             order.append(name)
 
@@ -36,19 +36,19 @@
     order: list[str] = []
 
     async def work(clock: LoopClock) -> None:
-        rate = Rate(4.0, clock)
+        rate = TokenBucket(4.0, clock)
         scheduler = WriteScheduler(rate, clock)
 
-        async def write(name: str, turn: Turn) -> None:
-            await scheduler.wait(turn)
+        async def write(name: str, priority: WritePriority) -> None:
+            await scheduler.wait(priority)
             rate.spend(1)
             order.append(name)
 
         rate.spend(4)
-        works = [write(f"work {i}", Turn.WORK) for i in range(60)]
-        waiting = asyncio.gather(write("sweep", Turn.LATER), *works)
+        works = [write(f"work {i}", WritePriority.NORMAL) for i in range(60)]
+        waiting = asyncio.gather(write("sweep", WritePriority.BACKGROUND), *works)
         await asyncio.sleep(1.1)
-        await write("user", Turn.FIRST)
+        await write("user", WritePriority.URGENT)
         assert len(order) <= 6 and order[-1] == "user"
         await waiting
         assert 0 < order.index("sweep") < c.WRITE_PATIENCE_S * 4 + 4
--- a/tests/test_rentals.py
+++ b/tests/test_rentals.py
@@ -12,7 +12,7 @@
 from pulleydeal.settings import StateLimits, Team
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
+from pulleydeal.store.client import OutcomeUnknown
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.partition_policy import PartitionPolicy
@@ -39,7 +39,7 @@
         self.fleet = Fleet(
             me, me, me, teams, ["east"], [], me, limits, Policy(), set, PartitionPolicy()
         )  # fmt: skip
-        self.put({r.CATALOG: r.Catalog([TYPE]), r.VIEW: r.View(1, {"winch-0": "abc"})}, [])
+        self.put({r.CATALOG_KEY: r.Catalog([TYPE]), r.VIEW_KEY: r.View(1, {"winch-0": "abc"})}, [])
         self.replica.end_load(self.replica.revision)
 
     def put(self, puts: dict[str, Any], deletes: list[str]) -> None:
@@ -57,7 +57,7 @@
             return False
         self.put(puts, list(deletes))
         if self.lose_answers and self.lose_answers.pop(0):
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         return True
 
     async def rent(self, name: str, _type: str, _zone: str, _spot: bool, count: int) -> list[str]:
@@ -100,7 +100,7 @@
         node.lose_answers = [True]
         try:
             await node.fleet.rent()
-        except Unknown:
+        except OutcomeUnknown:
             await node.fleet.rent()  # finds the rental that was written and completes it
         assert len(node.replica.machines) == 1 and not node.replica.rentals
         node.add_job("j-2")
@@ -124,18 +124,18 @@
             conditions: dict[str, int], puts: dict[str, Any], *_: Any, **__: Any
         ) -> bool:
             names.append(next(iter(puts)))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
 
         node.commit = commit_unanswered  # type: ignore[method-assign]
         for _ in range(2):
             try:
                 await node.fleet.rent()
-            except Unknown:
+            except OutcomeUnknown:
                 continue
-        node.put({r.VIEW: r.View(2, {"winch-0": "abc"})}, [])
+        node.put({r.VIEW_KEY: r.View(2, {"winch-0": "abc"})}, [])
         try:
             await node.fleet.rent()
-        except Unknown:
+        except OutcomeUnknown:
             return names
         return []
 
@@ -156,12 +156,12 @@
             conditions: dict[str, int], puts: dict[str, Any], *_: Any, **__: Any
         ) -> bool:
             pending.append((conditions, puts))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
 
         node.commit = commit_late  # type: ignore[method-assign]
         try:
             await node.fleet.rent()
-        except Unknown:
+        except OutcomeUnknown:
             node.commit = execute  # type: ignore[method-assign]
         await node.fleet.rent()
         assert len(node.replica.machines) == 1 and not node.replica.rentals
@@ -178,7 +178,7 @@
 
         async def commit_late(conditions: dict[str, int], puts: dict[str, Any], *_: Any) -> bool:
             pending.append((conditions, puts))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
 
         async def fetch_catalog() -> list[r.MachineType]:
             return [TYPE, msgspec.structs.replace(TYPE, name="t8")]
@@ -189,9 +189,9 @@
         node.commit, execute = commit_late, node.commit  # type: ignore[method-assign]
         try:
             await updater.update()
-        except Unknown:
+        except OutcomeUnknown:
             newest = r.Catalog([msgspec.structs.replace(TYPE, name="t9")])
-            node.put({r.CATALOG: newest}, [])
+            node.put({r.CATALOG_KEY: newest}, [])
         return node, await execute(*pending[0])
 
     node, applied = run_virtually(scenario)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -200,7 +200,7 @@
 
     def put(self, key: str, value: object) -> None:
         self.replica.revision += 1
-        self.replica.committed({key: msgspec.json.encode(value)}, [], self.replica.revision)
+        self.replica.apply_commit({key: msgspec.json.encode(value)}, [], self.replica.revision)
 
     def task(self, serial: int, task: r.Task) -> None:
         self.put(r.chunk_key(st.job_id("web", serial), 0), [task])
@@ -312,10 +312,10 @@
 
     app = App(settings, Clock(), random.Random(1), None, _on())
     app.membership.enter()
-    put(app, r.VIEW, r.View(1, {"winch-0": app.membership.incarnation}), 1)
+    put(app, r.VIEW_KEY, r.View(1, {"winch-0": app.membership.incarnation}), 1)
     put(app, r.software_key("winch-0"), r.Software(2, "0.3.0", {"rollouts": rc.FORMAT}), 2)
     app.replica.end_load(3)
-    app.store.current_at = 5.0
+    app.store.fresh_as_of = 5.0
     return app
 
 
@@ -324,7 +324,7 @@
 
 
 def put(app: App, key: str, value: object, version: int) -> None:
-    app.replica.committed({key: msgspec.json.encode(value)}, [], version)
+    app.replica.apply_commit({key: msgspec.json.encode(value)}, [], version)
 
 
 def post(app: App, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
@@ -371,7 +371,7 @@
     assert ask("/services/web/endpoints?after=9")[0] == 200  # no hold: at once
     assert ask("/services/web/endpoints?after=x")[0] == 400
     assert ask("/services/web")[0] == 404
-    app.store.current_at = -60.0
+    app.store.fresh_as_of = -60.0
     assert ask("/services/web/endpoints")[0] == 503  # this node's copy is old
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -34,7 +34,7 @@
 ) -> None:
     async def fails(self: Store) -> int:
         await asyncio.sleep(0.02)
-        self._barrier = None
+        self._pending_read = None
         raise RuntimeError("for a test")
 
     def without_ears(future: object) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.reasons import short
+from pulleydeal.store.reasons import reason_code
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.changes import apply_exit, apply_stop
 from pulleydeal.workers.tracked_machine import Exit
@@ -88,7 +88,10 @@
     assert store.job.is_open
     draft = store.change(ended(2, "done"))
     assert draft.deletes == ["p/c/j-1/0000"]
-    assert store.job.record == r.JobRecord("done", 3, ended=5.0) and store.replica.bound == {}
+    assert (
+        store.job.record == r.JobRecord("done", 3, ended=5.0)
+        and store.replica.tasks_by_machine == {}
+    )
 
 
 def test_exit_of_an_earlier_attempt_is_ignored() -> None:
@@ -104,7 +107,7 @@
     store = Store(3, "gang")
     store.change(bind(0), bind(1), bind(2))
     store.change(lambda draft: apply_stop(draft, 1, 1, "a drain"))
-    assert [task.stop for _, task in store.job.bindings()] == [short("a drain")] * 3
+    assert [task.stop for _, task in store.job.bindings()] == [reason_code("a drain")] * 3
     store.change(ended(1, "done"))
     assert store.job.record is not None and store.job.record.status == "done"
     assert store.job.bound == 2  # their exits are not proved yet
@@ -140,7 +143,7 @@
     while store.job.spec is not None:
         store.change()
     assert store.job.record == r.JobRecord("done", 100_000, ended=5.0)
-    assert store.job.chunks == {} and store.replica.bound == {}
+    assert store.job.chunks == {} and store.replica.tasks_by_machine == {}
 
 
 def test_job_completes_when_its_last_task_ends_are_committed_concurrently() -> None:
@@ -163,7 +166,7 @@
 
 def recounted_usage(replica: Replica) -> dict[str, tuple[float, float]]:
     used: dict[str, tuple[float, float]] = {}
-    for on_machine in replica.bound.values():
+    for on_machine in replica.tasks_by_machine.values():
         for job, _ in on_machine:
             spec = replica.jobs[job].spec
             assert spec is not None
@@ -196,7 +199,7 @@
     items = [m.Entry(k, msgspec.Raw(msgspec.json.encode(v)), 1) for k, v in values.items()]
     replica = Replica()
     notified: list[tuple[str, str]] = []
-    replica.listen(lambda kind, name: notified.append((kind, name)))
+    replica.add_listener(lambda kind, name: notified.append((kind, name)))
     replica.load(items)
     replica.end_load(1)
     assert replica.usage() == {"core": (4.0, 2.0)}
@@ -208,7 +211,7 @@
     for index in range(3):
         store.change(bind(index, f"vm-{index}"))
     notified: list[tuple[str, str]] = []
-    store.replica.listen(lambda kind, name: notified.append((kind, name)))
+    store.replica.add_listener(lambda kind, name: notified.append((kind, name)))
     proof = Exit("j-1", 1, 1, "vm-1", "done", "")
     store.change(lambda draft: apply_exit(draft, proof))
     assert notified == [("job", "j-1"), ("bound", "vm-1")]
@@ -218,7 +221,7 @@
     replica = Replica()
     replica.loaded = True
     record = msgspec.json.encode(r.MachineRecord("up", "t4", "east", False))
-    replica.committed({}, ["p/m/vm-1"], 7)
+    replica.apply_commit({}, ["p/m/vm-1"], 7)
     delayed = m.Event(5, "p/m/vm-1", None, msgspec.Raw(record))
     replica.apply(m.Changes(5, [delayed]))
     assert replica.machines == {}
@@ -232,7 +235,7 @@
     replica.loaded = True
     for version, state in ((4, "drain"), (3, "up")):
         value = r.MachineRecord(state, "t4", "east", False)  # type: ignore[arg-type]
-        replica.committed({"p/m/vm-1": msgspec.json.encode(value)}, [], version)
+        replica.apply_commit({"p/m/vm-1": msgspec.json.encode(value)}, [], version)
     assert replica.machines["vm-1"].record.state == "drain"
 
 
@@ -251,7 +254,7 @@
     def writes_in_one_second(others: list[float | None]) -> int:
         client = StateClient("127.0.0.1:1", Clock(), limits, 3)
         client._write_rate.take(1e9, True)  # use up the burst
-        client.share_writes(others)
+        client.adjust_write_rate(others)
         now[0] += 1e9
         client._write_rate.take(30.0, False)
         now[0] += 1.0
--- a/tests/test_untold.py
+++ b/tests/test_untold.py
@@ -16,7 +16,7 @@
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.submissions.service import Submissions
 from pulleydeal.workers.partition_policy import PartitionPolicy
@@ -68,7 +68,7 @@
         )
         type_ = r.MachineType("t4", 8.0, 2.0, 64.0, 50.0, 1.0, 9.0, 3.0, 45.0, ["east"])
         self.put(
-            {r.CATALOG: r.Catalog([type_]), r.job_key("j-1"): r.JobRecord("open", 2, 1.0, SPEC)}
+            {r.CATALOG_KEY: r.Catalog([type_]), r.job_key("j-1"): r.JobRecord("open", 2, 1.0, SPEC)}
         )
         self.watch()
         self.replica.loaded = True
@@ -89,7 +89,7 @@
         self.put({r.chunk_key("j-1", 0): [r.Task("vm-1", 1), r.Task()]})
 
     def change_job(
-        self, job: str, mutate: Callable[[Draft], None], turn: Turn
+        self, job: str, mutate: Callable[[Draft], None], priority: WritePriority
     ) -> "asyncio.Future[bool]":
         draft = Draft(self.replica.jobs[job], self.replica, Limits(2_000, 8), 5.0)
         mutate(draft)
@@ -98,12 +98,12 @@
             self.writes.append(draft.puts)
             self.put(draft.puts, tuple(draft.deletes))
             raw = {k: msgspec.json.encode(v) for k, v in draft.puts.items()}
-            self.replica.committed(raw, draft.deletes, self.revision)
+            self.replica.apply_commit(raw, draft.deletes, self.revision)
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         future.set_result(True)
         return future
 
-    async def fresh(self) -> None:
+    async def ensure_fresh(self) -> None:
         self.watch()
 
     def shut_out(self) -> bool:
@@ -114,7 +114,7 @@
 
     wall = now
 
-    def first_wait_s(self) -> float:
+    def urgent_wait_s(self) -> float:
         return 0.0
 
     def cancel(self) -> int:
@@ -190,7 +190,7 @@
     node.cancel()
 
     async def sweep() -> None:
-        await node.change_job("j-1", lambda _: None, Turn.LATER)
+        await node.change_job("j-1", lambda _: None, WritePriority.BACKGROUND)
 
     asyncio.run(sweep())
     assert len(node.writes) == 1  # its replica is older than the cancellation: nothing is dropped
@@ -201,7 +201,7 @@
     node.watch()
     asyncio.run(sweep())
     assert node.writes[-1][r.job_key("j-1")].spec is None
-    assert node.replica.bound == {}
+    assert node.replica.tasks_by_machine == {}
 
 
 def test_both_versions_read_each_others_records() -> None:
@@ -244,16 +244,16 @@
         self.put(puts)
         at = self.revision
         self.meanwhile(self)
-        self.replica.committed({k: msgspec.json.encode(v) for k, v in puts.items()}, [], at)
+        self.replica.apply_commit({k: msgspec.json.encode(v) for k, v in puts.items()}, [], at)
         return True
 
     def change_job(
-        self, job: str, mutate: Callable[[Draft], None], turn: Turn
+        self, job: str, mutate: Callable[[Draft], None], priority: WritePriority
     ) -> "asyncio.Future[bool]":
         self.meanwhile(self)
-        return super().change_job(job, mutate, turn)
+        return super().change_job(job, mutate, priority)
 
-    def journals(self, _spec: r.JobSpec) -> bool:
+    def should_journal(self, _spec: r.JobSpec) -> bool:
         return False
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,14 +20,14 @@
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.limits import Limits, TooLarge, tightest
-from pulleydeal.store.reasons import CODES, short, shown
+from pulleydeal.store.limits import Limits, TooLarge, effective_limits
+from pulleydeal.store.reasons import CODES, reason_code, reason_text
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.changes import apply_exit, apply_stop
 from pulleydeal.workers.tracked_machine import Exit
 
 RECORDS, MESSAGES = production.trace(Path(__file__).parent / "traces" / "production.txt")
-SMALL = tightest(StateLimits(200.0, 80.0, 8.0, 24, NextLimits(56.0, 2.0, 8)))
+SMALL = effective_limits(StateLimits(200.0, 80.0, 8.0, 24, NextLimits(56.0, 2.0, 8)))
 
 
 class Stored:
@@ -48,7 +48,7 @@
         encoded = {k: msgspec.json.encode(v) for k, v in draft.puts.items()}
         SMALL.check(draft.conditions, encoded, draft.deletes)
         self.written |= encoded
-        self.replica.committed(encoded, draft.deletes, self.replica.revision + 1)
+        self.replica.apply_commit(encoded, draft.deletes, self.replica.revision + 1)
         self.replica.revision += 1
         return draft
 
@@ -65,11 +65,11 @@
     }  # fmt: skip
     assert replica.jobs["j-5"].is_over and not replica.jobs["j-5"].is_cancelled
     assert replica.jobs["j-8"].is_cancelled and replica.jobs["j-8"].bound == 1
-    assert replica.jobs["j-1"].since == replica.jobs["j-1"].record.at  # type: ignore[union-attr]
+    assert replica.jobs["j-1"].waiting_since == replica.jobs["j-1"].record.at  # type: ignore[union-attr]
     assert replica.rentals["winch-0-ac41130f570e-9"].record.count == 23
     assert replica.machines["vm-000016"].record.state == "boot"
     assert list(replica.types) == ["t4"] and replica.view.epoch == 3
-    assert replica.formats["winch-0"] == 0 and replica.software == {}
+    assert replica.member_formats["winch-0"] == 0 and replica.node_formats == {}
 
 
 @pytest.mark.parametrize(
@@ -125,9 +125,9 @@
     stored.change("j-10", exit_of("j-10", index, task))
     assert len(stored.written[key]) <= c.CHUNK_B
     tasks = stored.replica.jobs["j-10"].chunks[0].tasks
-    assert shown(tasks[0].why) == "made room for work of production priority"
-    assert shown(tasks[0].stop) == "the cloud takes its spot machine back"
-    assert tasks[5].machine == "" and shown(tasks[5].why) == "its machine is gone"
+    assert reason_text(tasks[0].why) == "made room for work of production priority"
+    assert reason_text(tasks[0].stop) == "the cloud takes its spot machine back"
+    assert tasks[5].machine == "" and reason_text(tasks[5].why) == "its machine is gone"
     assert sum(bool(t.machine) for t in tasks) == 31
 
 
@@ -139,13 +139,17 @@
     rng = random.Random(4)
     for _ in range(200):
         text = "".join(rng.choice("made rofplcen()'\"\\\n\x00é") for _ in range(rng.randrange(60)))
-        assert short(short(text)) == short(text) and short(text) in CODES | {""}
+        assert reason_code(reason_code(text)) == reason_code(text) and reason_code(
+            text
+        ) in CODES | {""}
 
 
 def test_shortened_reasons_expand_to_the_same_text() -> None:
-    assert all(short(shown(code)) == code for code in CODES)
-    assert shown(short("made room for j-0123456 (high priority)")).endswith("of high priority")
-    assert shown("a sentence of production's") == "a sentence of production's"
+    assert all(reason_code(reason_text(code)) == code for code in CODES)
+    assert reason_text(reason_code("made room for j-0123456 (high priority)")).endswith(
+        "of high priority"
+    )
+    assert reason_text("a sentence of production's") == "a sentence of production's"
 
 
 def test_a_job_whose_description_exceeds_the_limit_can_still_end() -> None:
@@ -153,7 +157,8 @@
     assert len(RECORDS["p/j/j-11"]) > SMALL.value_b
     draft = Draft(stored.replica.jobs["j-11"], stored.replica, SMALL, 0.0)
     draft.touch()
-    assert list(draft.puts) == [r.VIEW]  # the record does not fit; every commit depends on the view
+    # The record does not fit; every commit depends on the view.
+    assert list(draft.puts) == [r.VIEW_KEY]
 
     def cancel(draft: Draft) -> None:
         draft.status = "cancelled"
@@ -180,9 +185,11 @@
 
 def test_the_smaller_of_present_and_announced_limits_applies() -> None:
     assert (SMALL.value_b, SMALL.ops) == (2 * 1024 - c.VALUE_SPARE_B, 8)
-    assert tightest(StateLimits(1.0, 1.0, 8.0, 24)) == Limits(8 * 1024 - c.VALUE_SPARE_B, 24)
+    assert effective_limits(StateLimits(1.0, 1.0, 8.0, 24)) == Limits(
+        8 * 1024 - c.VALUE_SPARE_B, 24
+    )
     larger = StateLimits(1.0, 1.0, 8.0, 24, NextLimits(None, 16.0, None))
-    assert tightest(larger) == tightest(StateLimits(1.0, 1.0, 8.0, 24))
+    assert effective_limits(larger) == effective_limits(StateLimits(1.0, 1.0, 8.0, 24))
 
 
 def test_a_catalogue_of_many_machine_types_takes_several_values() -> None:
@@ -191,7 +198,7 @@
     huge = r.MachineType("h" * 3000, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, ["east"])
     parts = plan.split_catalog(r.Catalog([*types, huge]), SMALL)
     assert 1 < len(parts) <= SMALL.ops
-    encoded = {r.types_key(k) if k else r.CATALOG: part for k, part in enumerate(parts)}
+    encoded = {r.types_key(k) if k else r.CATALOG_KEY: part for k, part in enumerate(parts)}
     replica = Replica()
     replica.load([m.Entry(k, msgspec.Raw(msgspec.json.encode(v)), 1) for k, v in encoded.items()])
     assert sorted(replica.types) == sorted(names)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -55,7 +55,7 @@
         self.reads = 0
         self.accepted_elsewhere: dict[str, r.JobRecord] = {}
         type_ = r.MachineType("t4", 8.0, 2.0, 64.0, 50.0, 1.0, 9.0, 3.0, 45.0, ["east"])
-        self._put({r.CATALOG: r.Catalog([type_])})
+        self._put({r.CATALOG_KEY: r.Catalog([type_])})
         self.replica.end_load(1)
         team = {"core": Team("core")}
         me: Any = self
@@ -67,10 +67,10 @@
 
     def _put(self, puts: dict[str, Any]) -> None:
         encoded = {k: msgspec.json.encode(v) for k, v in puts.items()}
-        self.replica.committed(encoded, [], self.replica.revision + 1)
+        self.replica.apply_commit(encoded, [], self.replica.revision + 1)
         self.replica.revision += 1
 
-    def journals(self, _spec: r.JobSpec) -> bool:
+    def should_journal(self, _spec: r.JobSpec) -> bool:
         return False
 
     def add_job(self, name: str, status: r.Status, kind: str = "array") -> None:
@@ -85,7 +85,7 @@
         self._put(puts)
         return True
 
-    async def fresh(self) -> None:
+    async def ensure_fresh(self) -> None:
         if self.down:
             raise Unavailable
         self.reads += 1
@@ -104,7 +104,7 @@
     def now(self) -> float:
         return 7.0
 
-    def first_wait_s(self) -> float:
+    def urgent_wait_s(self) -> float:
         return self.write_wait_s
 
     def submit(self, waits_on: object, **more: object) -> Response:
--- a/tests/test_waiting_turns.py
+++ b/tests/test_waiting_turns.py
@@ -55,8 +55,9 @@
     assert job_rank(c.BEGIN_S) == (0, 12000.0)
     assert job_rank(c.BEGIN_S + 1) < (0, short_job_work)
     assert job_rank(300.0) < (0, short_job_work)  # also after its own objective is missed
-    assert job_rank(300.0, on_machines={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
-    assert job_rank(300.0, last_stop="m") == (1, 40 * 300.0)  # it had started and was preempted
+    assert job_rank(300.0, bound_tasks={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
+    # It had started and was preempted.
+    assert job_rank(300.0, last_stop_reason="m") == (1, 40 * 300.0)
     assert (
         rules.job_rank(Job("j-1", 1, r.JobRecord("open", 40, 0.0, spec), spec), [], 300.0)[1]
         > short_job_work
@@ -110,5 +111,5 @@
     spec = r.JobSpec("j-1", "c", "core", "service", 3, 4, 1.0, 1.0, 1.0, "img", 1.0)
     record = r.JobRecord("open", 4, 0.0, spec)
     assert requests.count_granted(Job("j-1", 1, record, spec)) == 2
-    bound_job = Job("j-1", 1, record, spec, on_machines={2: r.Task("vm-2", 1)})
+    bound_job = Job("j-1", 1, record, spec, bound_tasks={2: r.Task("vm-2", 1)})
     assert requests.count_granted(bound_job) == 1  # it already counts as bound
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -24,7 +24,7 @@
     is_member = True
     me = "winch-0"
     incarnation = "1"
-    current_at = 0.0
+    fresh_as_of = 0.0
     view = r.View(3, {"winch-0": "1"})
 
     def __init__(self) -> None:
@@ -154,14 +154,14 @@
 
 def test_checkins_are_refused_once_the_state_copy_is_too_old() -> None:
     node = FakeNode()
-    node.current_at = 1.0 - 20.0  # copy older than cancel_s - lease_s - margin: 34 - 14 - 3 s
+    node.fresh_as_of = 1.0 - 20.0  # copy older than cancel_s - lease_s - margin: 34 - 14 - 3 s
     workers = make_workers(node)
 
     async def run() -> int:
         return (await workers.checkin(checkin_request("vm-1", 1))).status
 
     assert asyncio.run(run()) == 503
-    node.current_at = -15.0
+    node.fresh_as_of = -15.0
     assert asyncio.run(run()) == 200
 
 
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -29,7 +29,7 @@
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Refused, StateClient, Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, RequestRejected, StateClient, Unavailable
 from pulleydeal.store.service import forever
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order
@@ -176,7 +176,7 @@
         bind_job(node)
         rounds = asyncio.ensure_future(forever("workers", workers.work))
         await asyncio.sleep(5.0)
-        node.current_at = node.now()
+        node.fresh_as_of = node.now()
         spec = r.JobSpec("j-2", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
         node.put(r.job_key("j-2"), r.JobRecord("open", 1, 0.0, spec))
         node.put(r.chunk_key("j-2", 0), [r.Task("vm-1", 1)])
@@ -260,7 +260,7 @@
 
 
 # --- likewise for the state service and the cloud ------------------------------------------------
-StateErrors = (Unavailable, Unknown, Refused)
+StateErrors = (Unavailable, OutcomeUnknown, RequestRejected)
 ODD_STATUSES = [500, 502, 504, 302]
 
 
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
 def test_transaction_may_have_been_executed_after_an_unexpected_status(status: int) -> None:
-    assert isinstance(error_for_status(status, commit), Unknown)
+    assert isinstance(error_for_status(status, commit), OutcomeUnknown)
 
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
@@ -306,6 +306,6 @@
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_refused_calls_were_not_executed(status: int) -> None:
-    assert not isinstance(error_for_status(status, commit), Unknown)
+    assert not isinstance(error_for_status(status, commit), OutcomeUnknown)
     error = error_for_status(status, rent)
     assert isinstance(error, CloudError) and not error.may_have_executed
