--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -172,7 +172,7 @@
         self.metrics.epoch.set(self.membership.epoch)
         self.metrics.store_requests.set(self.client.requests)
         self.metrics.store_refusals.set(self.client.refusals)
-        self.metrics.strangers.set(self.siblings.strangers)
+        self.metrics.strangers.set(self.siblings.rejected_connections)
         self.metrics.loop_late.set(self.lateness.lag_s)
         self.metrics.checkin_age.set(self.workers.oldest_report_s())
         return self.metrics.text()
@@ -200,9 +200,9 @@
         return {
             "lateness": self.lateness.measure,
             "follow": self.store.follow,
-            "membership": self.membership.keep,
-            "view": self.membership.tend,
-            "beat": self.membership.beat,
+            "membership": self.membership.maintain_membership,
+            "view": self.membership.maintain_view,
+            "beat": self.membership.heartbeat,
             "workers": self.workers.work,
             "machines": self.eviction.run_round,
             **{k: self._put_off(Precedence.PLACEMENT, step) for k, step in placement.items()},
--- a/pulleydeal/background.py
+++ b/pulleydeal/background.py
@@ -8,7 +8,7 @@
 log = logging.getLogger("pulleydeal")
 
 
-class Background:
+class BackgroundTasks:
     """Keeps a reference to each task until it ends, and logs `failure_message` if it fails."""
 
     def __init__(self, failure_message: str) -> None:
@@ -26,7 +26,7 @@
             log.info("%s: %r", self._failure_message, error)
 
 
-def take_failure(future: "asyncio.Future[Any]") -> None:
+def retrieve_exception(future: "asyncio.Future[Any]") -> None:
     """Done callback for a future that several callers await: retrieves its exception.
 
     All callers may have timed out before it fails, as those of `Store.ensure_fresh` do while the
--- a/pulleydeal/constants.py
+++ b/pulleydeal/constants.py
@@ -12,10 +12,10 @@
 CLIENT_IDLE_S = 15.0  # connections unused for longer are not reused: servers close idle ones
 READ_CHUNK_B = 65_536  # one read takes at most one body of the largest size
 SOCKET_SHARE_SERVER = 0.75  # share of max_sockets for incoming connections; the rest is outgoing
-CROWD_SHARE = 0.6  # share of those for users; workers, /up and /metrics keep the rest
-CROWD_AT_ONCE = 128  # user requests processed at once: a few seconds of work on the small site
-QUEUE_MOST_S = 0.5  # users' writes that would wait longer are refused: answers stay under 1 s
-RETRY_MOST_S = 30.0  # PROTOCOL: users obey a Retry-After of up to 30 s
+USER_CONNECTION_SHARE = 0.6  # share of those for users; workers, /up and /metrics keep the rest
+USER_REQUESTS_AT_ONCE = 128  # processed at once: a few seconds of work on the small site
+MAX_QUEUE_WAIT_S = 0.5  # users' writes that would wait longer are refused: answers stay under 1 s
+MAX_RETRY_AFTER_S = 30.0  # PROTOCOL: users obey a Retry-After of up to 30 s
 RETRY_AFTER_S = 1  # shortest Retry-After; PROTOCOL: users retry after 1 s or more
 
 # --- State service ------------------------------------------------------------------------
@@ -38,38 +38,38 @@
 MAX_FAILS = 999  # failures counted, three digits: the back-off reaches its maximum long before
 COMMIT_B = 60_000  # largest transaction body that is built; the service's limit is 64 KiB
 CONDITIONS_PER_OP = 4  # PROTOCOL: four conditions per allowed change
-SCRATCH_TRIES = 6  # tries of one change whose conditions fail before it is given up
+MAX_COMMIT_TRIES = 6  # tries of one change whose conditions fail before it is given up
 REFUSED_WRITES = 3  # this many 429 within REFUSED_WRITES_S show the announced, lower write rate
 REFUSED_WRITES_S = 5.0  # a burst of the node's own writes is over within a second
 WRITE_SHARE = 0.9  # share of the write rate that is used: bursts of others are not known here
-WRITE_PATIENCE_S = 5.0  # after this wait a LATER write goes first, a WORK write every second time
-WRITE_LOOK_MIN_S = 0.005  # shorter sleeps cost more than they gain
-WRITE_LOOK_S = 0.05  # while the write rate is used up, how often the next writer is chosen anew
-LEND_KEEP = 0.25  # share of its write rate that a quiet node keeps, so that it can start at once
-LEND_GROWTH = 1.25  # growth of a node's writes that is allowed for before the other nodes notice
+WRITE_STARVATION_S = 5.0  # then BACKGROUND writes go first, NORMAL ones every second time
+RATE_SLEEP_MIN_S = 0.005  # shorter sleeps cost more than they gain
+WRITE_RECHECK_S = 0.05  # while the write rate is used up, how often the next writer is chosen anew
+IDLE_WRITE_SHARE = 0.25  # of a quiet node's write rate, which it keeps so that it can start at once
+WRITE_GROWTH_FACTOR = 1.25  # growth of a node's writes that is allowed for before others notice
 
 # --- Membership ---------------------------------------------------------------------------
 MEMBER_TTL_MS = 3_000  # a member whose lease is not renewed for this long is removed
 MEMBER_RENEW_S = 0.9  # three renewals per lease: two may be lost
-BEAT_S = 0.5  # interval of heartbeats, which carry credit totals: bounds how stale those are
+HEARTBEAT_S = 0.5  # interval of heartbeats, which carry credit totals: bounds how stale those are
 CUT_AFTER_S = 3.5  # silence of a live sibling that counts as a cut; > one lost heartbeat or stall
 HEAL_AFTER_S = 4.0  # a cut ends once the pair is heard for this long: flapping links stay cut
 SHUT_OUT_S = 1.5  # refused this long (renewals: every 0.9 s) while a sibling is served: shut out
 HEARD_NOW_S = 1.5  # three heartbeats: a sibling heard within this time is heard now
 RELAYED_CANCELS = 500  # cancelled jobs named in a heartbeat: bounds its size
-NOTHING_COMPLETE = (1 << 64) - 1  # a revision that no replica reaches: the heartbeat proves nothing
+NEVER_COMPLETE = (1 << 64) - 1  # a revision that no replica reaches: the heartbeat proves nothing
 # Cached rendezvous hashes of some 200 B each, one per member and machine or open job. At 16,384
 # those of 4,800 machines and 4,200 jobs evicted each other, which cost 25 ms per change of jobs.
-WEIGHTS_KEPT = 131_072
+HASH_CACHE_SIZE = 131_072
 FORMAT = 3  # record format that this version can read and keep; announced durably
 FORMAT_WAITS = 1  # since this format: jobs that wait on others
 FORMAT_FEATURES = 2  # since this format: a node announces its enabled features
 # Since this format nodes confirm no cancellation that a node without the state service could not
 # know of.
-FORMAT_VOUCHES = 3
+FORMAT_FRESHNESS = 3
 EPOCH_SHIFT = 24  # bits of a token below the epoch: the per-machine fence counter
 DIAL_TIMEOUT_S = 1.0  # for connecting to a sibling: hosts are a few ms apart
-STRANGERS_TOLD_S = 60.0  # between log lines on invalid messages: port scans must not fill the log
+REJECTION_LOG_INTERVAL_S = 60.0  # port scans must not fill the log with invalid messages
 MAX_FRAME_B = 1 << 20  # largest frame between siblings; an ask of 64 tasks is a few KiB
 
 # --- Workers ------------------------------------------------------------------------------
@@ -90,10 +90,10 @@
 ZONE_SILENT_SHARE = 0.5  # share of the known machines of a zone, quiet at once, that means a cut
 UNSEEN_KEEP_S = 120.0  # machines behind a cut are kept for this long: cuts last under a minute
 UNREACHED_S = 4.0  # orders unanswered for this long: starts never sent go elsewhere; > one order
-LOOK_ROUND_S = 1.0  # how often a node checks all its machines, even without a change
+MACHINE_SWEEP_S = 1.0  # how often a node checks all its machines, even without a change
 KILL_REPEAT_S = 2.0  # a kill without visible effect is sent again after this
 STOP_SLACK_S = 4.0  # added to stow_s: time from the last kill to the end of a spot machine
-OVERTAKEN_S = 1.0  # an older check-in that arrives later than this was not overtaken by an answer
+REPORT_REORDER_S = 1.0  # an older check-in later than this was not just overtaken by an answer
 SICK_ERRORS = 3  # failed tasks, of SICK_JOBS or more jobs, that mark a machine as sick
 SICK_JOBS = 2  # a faulty job fails everywhere; failures of two jobs point to the machine
 SICK_WINDOW_S = 90.0  # failures further apart than this are not counted together
@@ -106,9 +106,9 @@
 ASK_TTL_S = 3.0  # lifetime of a waiting task's place in an owner's queue; its leader renews it
 ASK_REPEAT_S = 1.0  # interval at which the leader renews it
 ROOM_BELOW = 2  # priorities below high may be stopped for a machine that has the image
-TELL_IMAGES_S = 2.0  # a node that joined is sent the images after this: links to it are up again
-TELL_AT_ONCE = 500  # machines in one such message: some 30 images of 50 B each fit into a frame
-MISS_LOSS = 500.0  # for a missed objective, in task seconds lost: most machines can lose less
+IMAGES_SEND_DELAY_S = 2.0  # until a node that joined is sent the images: links to it are up again
+MACHINES_PER_IMAGES_MESSAGE = 500  # some 30 images of 50 B each still fit into a frame
+MISSED_OBJECTIVE_LOSS = 500.0  # in task seconds lost: most machines can lose less
 RESTART_S = 60.0  # until a stopped task is where it was: place, fetch, work since its last save
 WORTH_FETCH_S = 5.0  # a fetch that takes longer than this justifies stopping such a task
 RESERVE_S = 15.0  # how long room made by preemption is reserved for the task it was made for
@@ -117,7 +117,7 @@
 # Credits recomputed per second without a change: 5% of a core with 28 tasks a machine. With up to
 # 500 machines at a node each is recomputed once in CREDIT_SWEEP_S.
 CREDITS_SWEPT_A_SECOND = 250
-LOOK_AGAIN_S = 2.0  # an ask without success checks all credits again; until then only changed ones
+FULL_RESCAN_S = 2.0  # an ask without success checks all credits again; until then only changed ones
 PUBLISH_S = 0.2  # shortest time between published totals: bounds the cost of heartbeats
 # Pause after a round, so that changes within it share the next one. Starts take seconds to fetch,
 # and at 0.03 s the rounds took a third of a busy day's processor time.
@@ -128,12 +128,12 @@
 PLACE_TICK_S = 0.25  # longest sleep of the placement loop; changes wake it at once
 # How long an ask waits in vain at one owner, or a gang in one zone, before the next is tried: long
 # enough to make room, also by tasks that save for 6 s (docs/incidents/room-made-and-left.md).
-ASK_STAY_S = 8.0
+ASK_MOVE_AFTER_S = 8.0
 ASK_LOOK_S = 0.25  # how often the owner for a waiting ask is reconsidered: costs grow with asks
 TIDY_S = 1.0  # how often state kept on jobs that are over is dropped
 MAX_ASKS_PER_JOB = 64  # tasks of one job that queue at owners at once
-VAIN_AFTER_S = 5.0  # an array of which no ask was served for this long keeps only VAIN_ASKS asks
-VAIN_ASKS = 8  # enough to find credit when it comes; the other asks then follow at once
+UNSERVED_AFTER_S = 5.0  # an array without a served ask for this long keeps only UNSERVED_MAX_ASKS
+UNSERVED_MAX_ASKS = 8  # enough to find credit when it comes; the other asks then follow at once
 ERROR_BACKOFF_S = 1.0  # first pause before a failed task is retried
 AVOID_S = 45.0  # a job avoids a machine on which it failed: less than the 90 s that users wait
 AVOID_MOST = 50  # avoided machines named in one ask: bounds the size of the message
@@ -141,10 +141,10 @@
 SWEEPS_AT_ONCE = 8  # jobs cleaned up at once: ends and bindings keep most of the write rate
 # An array of which nothing has started for this long goes first in its priority: operators expect
 # the largest jobs of a class, too, to begin within four minutes.
-BEGIN_S = 120.0
-CHAIN_WORK = -1.0  # replaces the waiting work of a job in a pipeline: less work goes first
-CHAIN_SMALL_S = 200.0  # task seconds left up to which a late job of a pipeline delays nobody
-CHAIN_STOP_S = 30.0  # an inherited priority preempts only if a start is needed this soon
+ARRAY_FIRST_START_S = 120.0
+LEAST_WORK = -1.0  # as waiting work, for jobs in pipelines and late arrays: less work goes first
+PIPELINE_SMALL_S = 200.0  # task seconds left up to which a late job of a pipeline delays nobody
+PIPELINE_PREEMPT_S = 30.0  # an inherited priority preempts only if a start is needed this soon
 NAMED_IN_NOTE = 5  # jobs that a waiting job's note names; the rest are counted
 ZONE_TRY_S = 4.0  # how long a gang gathers in one zone before it tries one with room for all of it
 
@@ -187,7 +187,7 @@
 LATE_UPKEEP_S = 0.25  # above this lateness the fleet's plans are delayed: nobody misses one
 LATE_PLACEMENT_S = 0.5  # above this one placement is delayed: machines drop answers after 4 s
 LATE_USERS_S = 1.0  # above this one most users are refused: they wait 2 s for a poll
-LATE_CROWD_AT_ONCE = 4  # user requests still processed at once then, whichever nodes are late
+LATE_USER_REQUESTS_AT_ONCE = 4  # still processed at once then, whichever nodes are late
 LATE_PLACEMENT_PAUSE_S = 0.5  # longest delay of a placement round: a start takes several rounds
 LATE_PAUSE_MOST_S = 2.0  # longest delay of the fleet's plans
 
--- a/pulleydeal/credits/images.py
+++ b/pulleydeal/credits/images.py
@@ -67,7 +67,7 @@
         """
         members = dict(self._replica.view.members)
         if self._known_members.get(self._membership.me) == members.get(self._membership.me):
-            at = self._clock.now() + c.TELL_IMAGES_S
+            at = self._clock.now() + c.IMAGES_SEND_DELAY_S
             for name, incarnation in members.items():
                 if name != self._membership.me and self._known_members.get(name) != incarnation:
                     self._sync_at[name] = at
@@ -77,8 +77,11 @@
         for name in [name for name, at in self._sync_at.items() if at <= now]:
             del self._sync_at[name]
             machines = list(self._images)
-            for start in range(0, len(machines), c.TELL_AT_ONCE):
-                batch = {m: self._images[m] for m in machines[start : start + c.TELL_AT_ONCE]}
+            for start in range(0, len(machines), c.MACHINES_PER_IMAGES_MESSAGE):
+                batch = {
+                    m: self._images[m]
+                    for m in machines[start : start + c.MACHINES_PER_IMAGES_MESSAGE]
+                }
                 self._siblings.send(name, IMAGES, pack_cached_images(batch))
 
     def _on_images(self, _sender: str, payload: bytes) -> None:
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -249,7 +249,7 @@
         if not room.fits(request.need) or not chosen:
             continue
         cost = sum(
-            v.lost_work_s + 100.0 * v.priority + c.MISS_LOSS * v.would_miss_objective
+            v.lost_work_s + 100.0 * v.priority + c.MISSED_OBJECTIVE_LOSS * v.would_miss_objective
             for v in chosen
         )
         if best is None or cost < best[0]:
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -30,7 +30,7 @@
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
-from pulleydeal.membership.messages import ASK, FREE, HOLD, Total
+from pulleydeal.membership.messages import ASK, FREE, HOLD, CreditTotal
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
@@ -85,7 +85,7 @@
         self._reserved_machine: dict[TaskId, str] = {}
         self._images = ImageLocations(membership, siblings, replica, clock, self._mark_dirty)
         self._builder = CreditBuilder(replica, self._images, objectives, clock, workers.silent)
-        self._published: list[Total] = []
+        self._published: list[CreditTotal] = []
         self._published_at = -1e9
         self._unpublished = False
         self._silence_sweep = Sweep(self._all_machines)
@@ -285,7 +285,7 @@
             has_reservation = key in self._reserved_machine
             attempt_kind = (is_full_scan, may_preempt, *signature(waiting.request))
             if is_full_scan:
-                delay_s = c.LOOK_AGAIN_S if may_preempt else c.PREEMPT_AFTER_S
+                delay_s = c.FULL_RESCAN_S if may_preempt else c.PREEMPT_AFTER_S
                 waiting.rescan_at = now + delay_s
             if not has_reservation and attempt_kind in failed:
                 continue
@@ -357,7 +357,7 @@
         spec = job.record.spec if job is not None and job.record is not None else None
         if job is None or spec is None or spec.priority >= request.priority:
             return request
-        is_near = job.due - job.estimate_s - self._clock.wall() < c.CHAIN_STOP_S
+        is_near = job.due - job.estimate_s - self._clock.wall() < c.PIPELINE_PREEMPT_S
         return request if is_near else replace(request, priority=spec.priority)
 
     def _hold(self, waiting: WaitingRequest, credit: Credit, now: float) -> None:
@@ -394,6 +394,6 @@
         reserved_needs = {key: found.request.need for key, found in waiting if found is not None}
         old, self._published = self._published, totals(self._queue.credits.values(), reserved_needs)
         if old != self._published:
-            self._membership.send_beat()  # the heartbeat carries the changed totals
+            self._membership.send_heartbeat()  # the heartbeat carries the changed totals
         self._metrics.credits.set(len(self._queue.credits))
         self._metrics.asks.set(len(self._waiting))
--- a/pulleydeal/credits/totals.py
+++ b/pulleydeal/credits/totals.py
@@ -5,19 +5,21 @@
 from pulleydeal import constants as c
 from pulleydeal.credits.messages import Resources
 from pulleydeal.credits.queue import Credit, TaskId
-from pulleydeal.membership.messages import Images, Total
+from pulleydeal.membership.messages import CreditTotal, Images
 
 
-def totals(credits: Iterable[Credit], reserved_needs: Mapping[TaskId, Resources]) -> list[Total]:
+def totals(
+    credits: Iterable[Credit], reserved_needs: Mapping[TaskId, Resources]
+) -> list[CreditTotal]:
     """Sums credits by machine type, zone and spot.
 
     `reserved_needs`: resources of the tasks that wait here and for which machines are being
     emptied.
     """
-    by_kind: dict[tuple[str, str, bool], Total] = {}
+    by_kind: dict[tuple[str, str, bool], CreditTotal] = {}
     for credit in credits:
         kind = (credit.type, credit.zone, credit.spot)
-        total = by_kind.setdefault(kind, Total(*kind))
+        total = by_kind.setdefault(kind, CreditTotal(*kind))
         if credit.reserved is not None:
             # While a machine is emptied for a waiting task, what that task needs stays published as
             # stoppable. Otherwise the task's leader moved its request to another owner, and the
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -38,7 +38,7 @@
         return (
             self._store.replica.loaded
             and self._membership.is_member
-            and self._membership.all_serve(self.feature, self.format)
+            and self._membership.all_enable(self.feature, self.format)
         )
 
     def leads(self, name: str) -> bool:
--- a/pulleydeal/http.py
+++ b/pulleydeal/http.py
@@ -74,14 +74,14 @@
         handler: Handler,
         limit: int,
         crowd: str = "",
-        crowd_at_once: Callable[[], int] = lambda: c.CROWD_AT_ONCE,
+        crowd_at_once: Callable[[], int] = lambda: c.USER_REQUESTS_AT_ONCE,
     ) -> None:
         """`crowd_at_once`: how many requests below `crowd` are worked on at once, at present."""
         self._handler = handler
         self._crowd_at_once = crowd_at_once
         self._limit = limit
         self._crowd = crowd
-        self._crowd_limit = int(limit * c.CROWD_SHARE)
+        self._crowd_limit = int(limit * c.USER_CONNECTION_SHARE)
         self._open = 0
         self._crowd_open = 0
         self._crowd_busy = 0
--- a/pulleydeal/journal/service.py
+++ b/pulleydeal/journal/service.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from pulleydeal import constants as c
-from pulleydeal.background import take_failure
+from pulleydeal.background import retrieve_exception
 from pulleydeal.journal import decide
 from pulleydeal.journal.measures import Measures
 from pulleydeal.membership.service import Membership
@@ -58,7 +58,9 @@
         return f"{self._membership.me}.{self._membership.incarnation}"
 
     def accepts(self, spec: r.JobSpec) -> bool:
-        return self.is_on and decide.is_suited(spec) and self._membership.all_serve(FEATURE, FORMAT)
+        return (
+            self.is_on and decide.is_suited(spec) and self._membership.all_enable(FEATURE, FORMAT)
+        )
 
     # --- appending ----------------------------------------------------------------------------
     async def append(self, job: str, make: DraftFactory, priority: WritePriority) -> bool:
@@ -68,7 +70,7 @@
         self._queue[job] = Waiting(make, priority, written)
         if self._pump is None or self._pump.done():
             self._pump = asyncio.ensure_future(self._run())
-            self._pump.add_done_callback(take_failure)
+            self._pump.add_done_callback(retrieve_exception)
         return await written
 
     async def _run(self) -> None:
--- a/pulleydeal/lateness.py
+++ b/pulleydeal/lateness.py
@@ -51,4 +51,8 @@
 
     def max_user_requests(self) -> int:
         """Limit of concurrent user requests; others are answered 503 with `Retry-After`."""
-        return c.CROWD_AT_ONCE if self.lag_s <= c.LATE_USERS_S else c.LATE_CROWD_AT_ONCE
+        return (
+            c.USER_REQUESTS_AT_ONCE
+            if self.lag_s <= c.LATE_USERS_S
+            else c.LATE_USER_REQUESTS_AT_ONCE
+        )
--- a/pulleydeal/membership/vouching.py
+++ b/pulleydeal/membership/freshness.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from pulleydeal import constants as c
-from pulleydeal.membership.messages import Beat, Vouch
+from pulleydeal.membership.messages import FreshnessProof, Heartbeat
 from pulleydeal.store.job import Job
 from pulleydeal.store.records import View
 
@@ -28,17 +28,17 @@
     newest = sorted(cancelled, key=lambda job: (-job.version, job.id))
     names = [job.id for job in newest[: c.RELAYED_CANCELS]]
     if not loaded:
-        return names, c.NOTHING_COMPLETE
+        return names, c.NEVER_COMPLETE
     omitted = newest[c.RELAYED_CANCELS :]
     return names, omitted[0].version if omitted else 0
 
 
-def vouched_at(
+def cancellations_known_at(
     view: View,
     me: str,
     incarnation: str,
     revision: int,
-    beats: Mapping[str, Beat],
+    heartbeats: Mapping[str, Heartbeat],
     now: float,
 ) -> float:
     """Time up to which this node knows all confirmed cancellations, by its own steady clock.
@@ -53,11 +53,11 @@
     for member in view.members:
         if member == me:
             continue
-        beat = beats.get(member)
-        if beat is None or beat.vouch is None or beat.epoch != view.epoch:
+        heartbeat = heartbeats.get(member)
+        if heartbeat is None or heartbeat.proof is None or heartbeat.epoch != view.epoch:
             return NEVER
-        sent_by, stamp = beat.vouch.echoes.get(me, ("", NEVER))
-        if sent_by != incarnation or stamp > now or beat.vouch.complete_from > revision:
+        sent_by, stamp = heartbeat.proof.echoes.get(me, ("", NEVER))
+        if sent_by != incarnation or stamp > now or heartbeat.proof.complete_from > revision:
             return NEVER
         at = min(at, stamp)
     return at
@@ -88,9 +88,11 @@
     return all(reported_epochs.get(node, 0) >= member_since_epoch for node in others)
 
 
-def update_echo(sender: str, vouch: Vouch | None, echoes: dict[str, tuple[str, float]]) -> None:
+def update_echo(
+    sender: str, proof: FreshnessProof | None, echoes: dict[str, tuple[str, float]]
+) -> None:
     """Stores a sender's latest stamp, which the next heartbeat sends back to it."""
-    if vouch is None:
+    if proof is None:
         echoes.pop(sender, None)
     else:
-        echoes[sender] = (vouch.incarnation, vouch.stamp)
+        echoes[sender] = (proof.incarnation, proof.stamp)
--- a/pulleydeal/membership/messages.py
+++ b/pulleydeal/membership/messages.py
@@ -4,14 +4,14 @@
 
 from pulleydeal.frames import Packer, Unpacker
 
-HELLO, BEAT, ASK, HOLD, FREE, IMAGES = range(1, 7)  # message types; features add their own
+HELLO, HEARTBEAT, ASK, HOLD, FREE, IMAGES = range(1, 7)  # message types; features add their own
 
 
 Images = dict[str, tuple[float, float]]
 
 
 @dataclass(slots=True)
-class Total:
+class CreditTotal:
     """Credit that one owner publishes for its machines of one type and zone, spot or not."""
 
     type: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Vouch:
+class FreshnessProof:
     """Lets a sibling without the state service tell, by its own clock, how old a heartbeat is."""
 
     incarnation: str  # of the sending process
@@ -40,14 +40,14 @@
 
 
 @dataclass(slots=True)
-class Beat:
+class Heartbeat:
     epoch: int
-    totals: list[Total] = field(default_factory=list)
+    totals: list[CreditTotal] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)  # jobs with tasks not proved gone
     hears: list[str] = field(default_factory=list)  # siblings heard within HEARD_NOW_S
     writes: float = 0.0  # recent changes per second by the sender to the state service
     served: bool = True  # whether the state service answers the sender
-    vouch: Vouch | None = None  # None: the sender's version has none and proves nothing
+    proof: FreshnessProof | None = None  # None: the sender's version has none and proves nothing
 
 
 def _pack_images(packer: Packer, images: Images) -> None:
@@ -60,32 +60,34 @@
     return {u.text(): u.f64_pair() for _ in range(u.u16())}
 
 
-def pack_beat(beat: Beat) -> bytes:
-    packer = Packer().u64(beat.epoch).u16(len(beat.totals))
-    for t in beat.totals:
+def pack_heartbeat(heartbeat: Heartbeat) -> bytes:
+    packer = Packer().u64(heartbeat.epoch).u16(len(heartbeat.totals))
+    for t in heartbeat.totals:
         packer.text(t.type).text(t.zone).u8(t.spot)
         packer.f64(t.cpus).f64(t.gpus).f64(t.memory).f64(t.largest_cpus).f64(t.largest_gpus)
         _pack_images(packer, t.images)
         _pack_images(packer, t.stoppable)
-    packer.texts(beat.cancelled).texts(beat.hears).f64(beat.writes).u8(beat.served)
-    if (vouch := beat.vouch) is not None:  # last: older versions stop reading before it
-        packer.text(vouch.incarnation).f64(vouch.stamp).u64(vouch.complete_from)
-        packer.u16(len(vouch.echoes))
-        for node, (incarnation, stamp) in vouch.echoes.items():
+    packer.texts(heartbeat.cancelled).texts(heartbeat.hears).f64(heartbeat.writes).u8(
+        heartbeat.served
+    )
+    if (proof := heartbeat.proof) is not None:  # last: older versions stop reading before it
+        packer.text(proof.incarnation).f64(proof.stamp).u64(proof.complete_from)
+        packer.u16(len(proof.echoes))
+        for node, (incarnation, stamp) in proof.echoes.items():
             packer.text(node).text(incarnation).f64(stamp)
     return packer.bytes()
 
 
-def unpack_beat(data: bytes) -> Beat:
+def unpack_heartbeat(data: bytes) -> Heartbeat:
     u = Unpacker(data)
     epoch = u.u64()
     totals = []
     for _ in range(u.u16()):
         kind = (u.text(), u.text(), bool(u.u8()))
         amounts = (u.f64(), u.f64(), u.f64(), u.f64(), u.f64())
-        totals.append(Total(*kind, *amounts, _unpack_images(u), _unpack_images(u)))
-    beat = Beat(epoch, totals, u.texts(), u.texts(), u.f64(), bool(u.u8()))
+        totals.append(CreditTotal(*kind, *amounts, _unpack_images(u), _unpack_images(u)))
+    heartbeat = Heartbeat(epoch, totals, u.texts(), u.texts(), u.f64(), bool(u.u8()))
     if u.more():
-        beat.vouch = Vouch(u.text(), u.f64(), u.u64())
-        beat.vouch.echoes = {u.text(): (u.text(), u.f64()) for _ in range(u.u16())}
-    return beat
+        heartbeat.proof = FreshnessProof(u.text(), u.f64(), u.u64())
+        heartbeat.proof.echoes = {u.text(): (u.text(), u.f64()) for _ in range(u.u16())}
+    return heartbeat
--- a/pulleydeal/membership/service.py
+++ b/pulleydeal/membership/service.py
@@ -11,9 +11,16 @@
 from pulleydeal import __version__, rules
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
+from pulleydeal.membership import freshness
 from pulleydeal.membership import view as views
-from pulleydeal.membership import vouching
-from pulleydeal.membership.messages import BEAT, Beat, Total, Vouch, pack_beat, unpack_beat
+from pulleydeal.membership.messages import (
+    HEARTBEAT,
+    CreditTotal,
+    FreshnessProof,
+    Heartbeat,
+    pack_heartbeat,
+    unpack_heartbeat,
+)
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.settings import Settings
 from pulleydeal.store import records as r
@@ -47,12 +54,12 @@
         self._incarnation_checked = False  # whether it differs from those stored for this node
         self._rng = rng
         self._renewed_at = -1e9
-        self._beats: dict[str, tuple[float, Beat]] = {}
+        self._heartbeats: dict[str, tuple[float, Heartbeat]] = {}
         # Sibling -> incarnation and timestamp of its last heartbeat, sent back to it with the next.
         self._echoes: dict[str, tuple[str, float]] = {}
         # Jobs that heartbeats named as cancelled and that the replica does not show as over yet.
         # A cancellation is final, so what a sibling said stays true after that sibling restarts.
-        self._relayed_cancels: set[str] = set()
+        self._relayed_cancellations: set[str] = set()
         self._reported_epochs: dict[str, int] = {}  # sibling -> newest epoch in its heartbeats
         # Epoch of the last view that was examined, and whether this node was a member in it.
         self._examined_view: tuple[int, bool] = (0, False)
@@ -60,8 +67,8 @@
         self._written_at_last_beat = 0  # the client's count of changes at the last heartbeat
         self._write_rate = 0.0  # changes per second to the state service, smoothed
         self.serves: dict[str, int] = {}  # feature enabled on this node -> its record format
-        self.totals: Callable[[], list[Total]] = list
-        siblings.on(BEAT, self._on_beat)
+        self.totals: Callable[[], list[CreditTotal]] = list
+        siblings.on(HEARTBEAT, self._on_heartbeat)
         self._replica.add_listener(self._on_change)
 
     # --- queries --------------------------------------------------------------------------
@@ -83,7 +90,7 @@
     def owns(self, machine: str, zone: str) -> bool:
         return self.is_member and self.owner(machine, zone) == self.me
 
-    def all_keep(self, format_: int) -> bool:
+    def all_support(self, format_: int) -> bool:
         """Whether every configured node has durably announced that it supports this format.
 
         The software records cover nodes that are down, as they may come back with an older version.
@@ -96,12 +103,12 @@
             for member in self._replica.members
         )
 
-    def all_serve(self, feature: str, format_: int) -> bool:
+    def all_enable(self, feature: str, format_: int) -> bool:
         """Whether every configured node has durably announced that the feature is enabled on it.
 
         Only then can the feature's records be relied on, whichever node becomes the leader.
         """
-        return self.all_keep(c.FORMAT_FEATURES) and all(
+        return self.all_support(c.FORMAT_FEATURES) and all(
             self._replica.node_features.get(node, {}).get(feature, 0) >= format_
             for node in self.nodes()
         )
@@ -132,35 +139,37 @@
     def zone_of(self, node: str) -> str:
         return self._settings.zone_of(node)
 
-    def parts(self) -> dict[str, list[Total]]:
+    def parts(self) -> dict[str, list[CreditTotal]]:
         """Published credit totals by owner: members heard within CUT_AFTER_S, and this one."""
         now = self._clock.now()
         known = {
-            name: beat.totals
-            for name, (at, beat) in self._beats.items()
+            name: heartbeat.totals
+            for name, (at, heartbeat) in self._heartbeats.items()
             if name in self.view.members and now - at < c.CUT_AFTER_S
         }
         if self.is_member:
             known[self.me] = self.totals()
         return known
 
-    def relayed_cancels(self) -> set[str]:
+    def relayed_cancellations(self) -> set[str]:
         """Jobs that siblings named as cancelled and that the replica does not show as over yet."""
-        return self._relayed_cancels
+        return self._relayed_cancellations
 
-    def vouched_at(self) -> float:
+    def cancellations_known_at(self) -> float:
         """Time up to which the members' heartbeats cover cancellations missing from the replica."""
-        if not self.all_keep(c.FORMAT_VOUCHES):
-            return vouching.NEVER  # an older version may confirm what no heartbeat announces
-        beats = {name: beat for name, (_, beat) in self._beats.items()}
+        if not self.all_support(c.FORMAT_FRESHNESS):
+            return freshness.NEVER  # an older version may confirm what no heartbeat announces
+        heartbeats = {name: heartbeat for name, (_, heartbeat) in self._heartbeats.items()}
         view, revision = self.view, self._replica.revision
         now = self._clock.now()
-        return vouching.vouched_at(view, self.me, self.incarnation, revision, beats, now)
+        return freshness.cancellations_known_at(
+            view, self.me, self.incarnation, revision, heartbeats, now
+        )
 
     def known_as_member(self) -> bool:
         """Whether this node may confirm cancellations whose tasks are not proved gone."""
         others = [node for node in self.nodes() if node != self.me]
-        return self.is_member and vouching.known_as_member(
+        return self.is_member and freshness.known_as_member(
             self._member_since_epoch, self._reported_epochs, others
         )
 
@@ -180,17 +189,18 @@
         """
         now = self._clock.now()
         return self._store.client.failing_s() >= c.SHUT_OUT_S and any(
-            beat.served and now - at < c.HEARD_NOW_S for at, beat in self._beats.values()
+            heartbeat.served and now - at < c.HEARD_NOW_S
+            for at, heartbeat in self._heartbeats.values()
         )
 
     # --- loops ----------------------------------------------------------------------------
-    async def keep(self) -> None:
+    async def maintain_membership(self) -> None:
         """One round of joining the view or renewing the member lease; run in a loop."""
         if not self._replica.loaded:
             await asyncio.sleep(0.02)
             return
         if not self._incarnation_checked:
-            self.enter()
+            self.ensure_new_incarnation()
         alive = self._replica.members.get(self.me) == self.incarnation
         if not self.is_member or not alive or self._lease is None:
             await self._join()
@@ -199,7 +209,7 @@
         else:
             await asyncio.sleep(0.1)
 
-    def enter(self) -> None:
+    def ensure_new_incarnation(self) -> None:
         """Draws a new incarnation if this process's is stored for the node; run before joining.
 
         Incarnations are random, so one stored by an earlier process may be the same. Taken for its
@@ -253,7 +263,7 @@
             log.info("member lease expired; joining again")
             self._lease = None
 
-    async def tend(self) -> None:
+    async def maintain_view(self) -> None:
         """One round of removing dead members and recording cuts; run in a loop."""
         await asyncio.sleep(0.1)
         if not self.is_member:
@@ -279,16 +289,20 @@
             self.view,
             self.me,
             zones,
-            self._siblings.heard_s(),
+            self._siblings.silence_s(),
             self._siblings.steady_s(),
-            {name for name, (_, beat) in self._beats.items() if self.me in beat.hears},
+            {
+                name
+                for name, (_, heartbeat) in self._heartbeats.items()
+                if self.me in heartbeat.hears
+            },
         )
         if changed is not None and await self._store.commit(conditions, {r.VIEW_KEY: changed}):
             log.info(
                 "epoch %d: cut pairs: %s", self.epoch, self.view.cut, extra={"epoch": self.epoch}
             )
 
-    async def say_deaf(self, zones: set[str]) -> bool:
+    async def record_deaf_zones(self, zones: set[str]) -> bool:
         """Records in the view the zones whose machines this node does not hear.
 
         Returns whether the view states exactly these zones.
@@ -309,44 +323,46 @@
             )
         return ok
 
-    async def beat(self) -> None:
+    async def heartbeat(self) -> None:
         """One round: sends a heartbeat and takes up the write rate that siblings don't use."""
         written = self._store.client.written
         self._write_rate = (
-            0.5 * self._write_rate + 0.5 * (written - self._written_at_last_beat) / c.BEAT_S
+            0.5 * self._write_rate + 0.5 * (written - self._written_at_last_beat) / c.HEARTBEAT_S
         )
         self._written_at_last_beat = written
-        self.send_beat()
+        self.send_heartbeat()
         now = self._clock.now()
         others: list[float | None] = []
         for sibling in self._settings.siblings:
-            at, beat = self._beats.get(sibling.node_name, (-1e9, None))
-            heard = beat is not None and now - at < c.HEARD_NOW_S
-            others.append(beat.writes if beat is not None and heard else None)
+            at, heartbeat = self._heartbeats.get(sibling.node_name, (-1e9, None))
+            heard = heartbeat is not None and now - at < c.HEARD_NOW_S
+            others.append(heartbeat.writes if heartbeat is not None and heard else None)
         self._store.client.adjust_write_rate(others)
-        await asyncio.sleep(c.BEAT_S)
+        await asyncio.sleep(c.HEARTBEAT_S)
 
-    def send_beat(self) -> None:
-        cancelled, complete_from = vouching.announced_cancellations(
+    def send_heartbeat(self) -> None:
+        cancelled, complete_from = freshness.announced_cancellations(
             map(self._replica.jobs.__getitem__, self._replica.cancelled_jobs),
             self._replica.loaded,
         )
         totals = self.totals() if self.is_member else []
-        hears = [name for name, age_s in self._siblings.heard_s().items() if age_s < c.HEARD_NOW_S]
+        hears = [
+            name for name, age_s in self._siblings.silence_s().items() if age_s < c.HEARD_NOW_S
+        ]
         served = self._store.client.failing_s() < c.SHUT_OUT_S
-        vouch = Vouch(self.incarnation, self._clock.now(), complete_from, self._echoes)
-        beat = Beat(self.epoch, totals, cancelled, hears, self._write_rate, served, vouch)
-        self._siblings.broadcast(BEAT, pack_beat(beat))
-
-    def _on_beat(self, sender: str, payload: bytes) -> None:
-        beat = unpack_beat(payload)
-        self._beats[sender] = (self._clock.now(), beat)
-        vouching.update_echo(sender, beat.vouch, self._echoes)
-        self._reported_epochs[sender] = max(beat.epoch, self._reported_epochs.get(sender, 0))
-        if beat.cancelled or self._relayed_cancels:
+        proof = FreshnessProof(self.incarnation, self._clock.now(), complete_from, self._echoes)
+        heartbeat = Heartbeat(self.epoch, totals, cancelled, hears, self._write_rate, served, proof)
+        self._siblings.broadcast(HEARTBEAT, pack_heartbeat(heartbeat))
+
+    def _on_heartbeat(self, sender: str, payload: bytes) -> None:
+        heartbeat = unpack_heartbeat(payload)
+        self._heartbeats[sender] = (self._clock.now(), heartbeat)
+        freshness.update_echo(sender, heartbeat.proof, self._echoes)
+        self._reported_epochs[sender] = max(heartbeat.epoch, self._reported_epochs.get(sender, 0))
+        if heartbeat.cancelled or self._relayed_cancellations:
             jobs = self._replica.jobs
-            self._relayed_cancels = {
+            self._relayed_cancellations = {
                 name
-                for name in self._relayed_cancels.union(beat.cancelled)
+                for name in self._relayed_cancellations.union(heartbeat.cancelled)
                 if (job := jobs.get(name)) is None or not job.is_over
             }
--- a/pulleydeal/membership/siblings.py
+++ b/pulleydeal/membership/siblings.py
@@ -77,7 +77,7 @@
         self._heard_at: dict[str, float] = {s: clock.now() for s in self._links}
         self._steady_since: dict[str, float] = {s: clock.now() for s in self._links}
         self._server: asyncio.Server | None = None
-        self.strangers = 0  # incoming connections closed because of an invalid message
+        self.rejected_connections = 0  # incoming connections closed because of an invalid message
         self._rejection_logged_at = -1e9
 
     def on(self, message_type: int, handler: Handler) -> None:
@@ -101,7 +101,7 @@
         for link in self._links.values():
             link.send(message_type, payload)
 
-    def heard_s(self) -> dict[str, float]:
+    def silence_s(self) -> dict[str, float]:
         """Seconds since each sibling was last heard."""
         now = self._clock.now()
         return {name: now - at for name, at in self._heard_at.items()}
@@ -119,12 +119,14 @@
 
     def _reject(self, name: str, reason: str) -> None:
         """Counts an invalid message; logs at most one a minute, as anybody may connect here."""
-        self.strangers += 1
+        self.rejected_connections += 1
         now = self._clock.now()
-        if now - self._rejection_logged_at >= c.STRANGERS_TOLD_S:
+        if now - self._rejection_logged_at >= c.REJECTION_LOG_INTERVAL_S:
             self._rejection_logged_at = now
             who = name if name in self._links else "an unknown peer"
-            log.error("invalid message from %s: %s (%d so far)", who, reason, self.strangers)
+            log.error(
+                "invalid message from %s: %s (%d so far)", who, reason, self.rejected_connections
+            )
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name = ""
--- a/pulleydeal/membership/view.py
+++ b/pulleydeal/membership/view.py
@@ -9,7 +9,7 @@
 from pulleydeal.store.records import View
 
 
-@lru_cache(maxsize=c.WEIGHTS_KEPT)
+@lru_cache(maxsize=c.HASH_CACHE_SIZE)
 def _weight(member: str, subject: str) -> bytes:
     return hashlib.blake2b(f"{member}\0{subject}".encode(), digest_size=8).digest()
 
@@ -66,13 +66,13 @@
     view: View,
     me: str,
     zones: dict[str, str],
-    heard_s: dict[str, float],
+    silence_s: dict[str, float],
     steady_s: dict[str, float],
     hears_me: set[str],
 ) -> View | None:
     """The next view, with the cuts that `me` detects; None if nothing changes.
 
-    `heard_s`: seconds since each sibling was last heard; `steady_s`: seconds since its last long
+    `silence_s`: seconds since each sibling was last heard; `steady_s`: seconds since its last long
     silence ended; `hears_me`: siblings that report hearing this node. A single lost heartbeat
     changes nothing, and a link that flaps or works in one direction only stays cut.
     """
@@ -81,13 +81,13 @@
         if sibling == me or zones[sibling] == zones[me]:
             continue
         pairs = {(me, zones[sibling]), (sibling, zones[me])}
-        if heard_s.get(sibling, 0.0) > c.CUT_AFTER_S:
+        if silence_s.get(sibling, 0.0) > c.CUT_AFTER_S:
             cut |= pairs
         elif (
             # Both ends must hear each other now, or one end would undo the cut that the other
             # has just recorded.
             sibling in hears_me
-            and heard_s.get(sibling, 0.0) < c.HEARD_NOW_S
+            and silence_s.get(sibling, 0.0) < c.HEARD_NOW_S
             and steady_s.get(sibling, 0.0) > c.HEAL_AFTER_S
         ):
             cut -= pairs
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -15,7 +15,7 @@
 from pulleydeal.operators import constants as oc
 from pulleydeal.store.job import Job
 from pulleydeal.store.reasons import reason_text
-from pulleydeal.submissions.messages import described
+from pulleydeal.submissions.messages import as_submission
 
 log = logging.getLogger("pulleydeal.operators")
 STATES = ("open", "done", "cancelled", "all")
@@ -128,7 +128,7 @@
         job = self._replica.jobs.get(asked.params["job"])
         if job is None or job.spec is None:
             raise Problem(404, "no_such_job", f"no open job {asked.params['job']!r} is known here")
-        return described(job.spec)
+        return as_submission(job.spec)
 
     async def _machines(self, asked: Asked) -> Any:
         self._need_replica()
--- a/pulleydeal/placement/owner_selection.py
+++ b/pulleydeal/placement/owner_selection.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from pulleydeal import constants as c
-from pulleydeal.membership.messages import Images, Total
+from pulleydeal.membership.messages import CreditTotal, Images
 from pulleydeal.placement.pending import PendingRequest
 from pulleydeal.store import records as r
 
@@ -12,7 +12,7 @@
 OwnerScore = tuple[bool, int, int, float]
 
 
-def is_suitable(spec: r.JobSpec, total: Total) -> bool:
+def is_suitable(spec: r.JobSpec, total: CreditTotal) -> bool:
     """Whether the job may run on machines of this kind."""
     return (spec.spot or not total.spot) and (spec.types is None or total.type in spec.types)
 
@@ -43,7 +43,7 @@
     others = [z for z in allowed if z != zone] or allowed
     needed = spec.tasks * _room_units(spec.cpus, spec.gpus)
     elsewhere = any(room_by_zone[z] >= needed for z in others)
-    if zone in allowed and tried_s < (c.ZONE_TRY_S if elsewhere else c.ASK_STAY_S):
+    if zone in allowed and tried_s < (c.ZONE_TRY_S if elsewhere else c.ASK_MOVE_AFTER_S):
         return zone
     return max(others, key=lambda z: (room_by_zone[z], z))
 
@@ -51,7 +51,7 @@
 class OwnerSelector:
     """Totals of all owners at one moment, with scores cached per job and zones."""
 
-    def __init__(self, totals_by_owner: dict[str, list[Total]], now: float) -> None:
+    def __init__(self, totals_by_owner: dict[str, list[CreditTotal]], now: float) -> None:
         self._totals_by_owner = totals_by_owner
         self._now = now
         self._scores: dict[tuple[str, tuple[str, ...]], dict[str, OwnerScore]] = {}
@@ -110,7 +110,7 @@
             and current.owner in scores
             and now - current.sent_at < c.ASK_TTL_S
             and (scores[current.owner][0] or now - current.since < c.ASK_REPEAT_S)
-            and now - current.owner_since < c.ASK_STAY_S
+            and now - current.owner_since < c.ASK_MOVE_AFTER_S
         ):
             return current.owner
         # Totals are a summary and may mislead, so after a while the other owners are tried.
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -259,9 +259,9 @@
         Otherwise six large arrays had 384 requests, renewed every second and reviewed every 0.25 s.
         """
         granted_at = self._granted_at.setdefault(job.id, now)
-        if spec.kind != "array" or now - granted_at < c.VAIN_AFTER_S:
+        if spec.kind != "array" or now - granted_at < c.UNSERVED_AFTER_S:
             return c.MAX_ASKS_PER_JOB
-        return c.VAIN_ASKS
+        return c.UNSERVED_MAX_ASKS
 
     def _request_credit(
         self,
--- a/pulleydeal/recurring/imports.py
+++ b/pulleydeal/recurring/imports.py
@@ -12,7 +12,7 @@
 from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
 from pulleydeal.store.rate import WritePriority
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 
 if TYPE_CHECKING:
     from pulleydeal.recurring.service import Recurring
@@ -116,7 +116,7 @@
             key = (spec.team, spec.kind, spec.tasks, spec.cpus, spec.gpus, spec.memory, spec.zone)
             whole = (*key, tuple(spec.types or ()))
             if whole not in told:
-                told[whole] = refusal(spec, node.teams, node.replica.types, node.zones)
+                told[whole] = rejection_reason(spec, node.teams, node.replica.types, node.zones)
             if told[whole]:
                 faults.append(Fault(entry.number, 1, told[whole]))
         return faults
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -18,7 +18,7 @@
 from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
 from pulleydeal.store.rate import WritePriority
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 
 log = logging.getLogger("pulleydeal.recurring")
 FIELD = {"feature": "recurring"}
@@ -228,7 +228,7 @@
             job = self.replica.jobs.get(st.job_id(name, one.line.id, mark.job_at))
             previous_open = job is not None and not job.is_over
         spec = one.line.job.spec("j-0")
-        why = refusal(spec, self.node.teams, self.replica.types, self.node.zones)
+        why = rejection_reason(spec, self.node.teams, self.replica.types, self.node.zones)
         return decide.outcome(one.line, mark, one.instant, now, previous_open, why)
 
     def _begin(
--- a/pulleydeal/rollouts/description.py
+++ b/pulleydeal/rollouts/description.py
@@ -9,7 +9,7 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.settings import Team
 from pulleydeal.store import records as r
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,39}$")]
 Text = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -145,7 +145,7 @@
 ) -> list[str]:
     """What this deployment can never give it."""
     faults = [f"zones: unknown zone {zone!r}" for zone in d.zones or [] if zone not in zones]
-    why = refusal(d.job("j-0", ""), teams, types, zones)
+    why = rejection_reason(d.job("j-0", ""), teams, types, zones)
     if why:
         return [*faults, f"copies: {why}"]
     team = teams[d.team]
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -4,7 +4,7 @@
 import logging
 from typing import TypeVar
 
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.features.context import Handler, Service, Step
 from pulleydeal.features.records import Records
 from pulleydeal.features.routes import Route
@@ -37,7 +37,7 @@
         self.watches: dict[str, Watch] = {}
         self.prober = Prober(node.clock)
         self.writes = 0  # transactions of decisions
-        self._background = Background("a round of checks failed")
+        self._background = BackgroundTasks("a round of checks failed")
         self._decoded: dict[str, tuple[int, object]] = {}
         self.interface = Interface(self)
 
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -111,8 +111,8 @@
             latest = record.at + spec.deadline_s * (objective.times or 1.0)
             missed_objectives += wall + spec.estimate_s > latest
     has_objective = any(objective.klass == spec.klass for objective in objectives)
-    if spec.kind == "array" and age > c.BEGIN_S and has_objective and not job.has_begun:
-        return 0, c.CHAIN_WORK  # shortest first left the longest without a single start
+    if spec.kind == "array" and age > c.ARRAY_FIRST_START_S and has_objective and not job.has_begun:
+        return 0, c.LEAST_WORK  # shortest first left the longest without a single start
     remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
     if policy is not None and policy.decides("order"):
         return missed_objectives, policy.value(
@@ -123,10 +123,10 @@
         # of two tasks waited 38 s behind arrays that belong to later pipelines.
         missed_count = (
             missed_objectives + (wall > latest_start(job))
-            if remaining_work_s > c.CHAIN_SMALL_S
+            if remaining_work_s > c.PIPELINE_SMALL_S
             else 0
         )
-        return missed_count, c.CHAIN_WORK
+        return missed_count, c.LEAST_WORK
     return missed_objectives, 0.0 if spec.kind == "gang" else remaining_work_s
 
 
--- a/pulleydeal/store/client.py
+++ b/pulleydeal/store/client.py
@@ -139,7 +139,11 @@
         share = self._write_rps / self._nodes
         available = self._write_rps
         for used in others:
-            available -= share if used is None else max(c.LEND_KEEP * share, used * c.LEND_GROWTH)
+            available -= (
+                share
+                if used is None
+                else max(c.IDLE_WRITE_SHARE * share, used * c.WRITE_GROWTH_FACTOR)
+            )
         self._write_rate.set(max(share, available))
 
     async def revision(self) -> int:
--- a/pulleydeal/store/rate.py
+++ b/pulleydeal/store/rate.py
@@ -13,7 +13,7 @@
 
     URGENT = 0  # user requests and membership: few, and may overdraw a little
     NORMAL = 1  # bindings, task ends and stops, in order of arrival
-    BACKGROUND = 2  # background writes; they go first once they have waited WRITE_PATIENCE_S
+    BACKGROUND = 2  # background writes; they go first once they have waited WRITE_STARVATION_S
 
 
 class TokenBucket:
@@ -46,13 +46,13 @@
         if self._tokens - amount >= min_tokens or self._tokens >= self._per_s:
             self._tokens -= amount
             return 0.0
-        return max(c.WRITE_LOOK_MIN_S, (min_tokens + amount - self._tokens) / self._per_s)
+        return max(c.RATE_SLEEP_MIN_S, (min_tokens + amount - self._tokens) / self._per_s)
 
     def pause(self, urgent: bool) -> float:
         """Seconds until one token may be spent."""
         self._refill()
         missing = self._min_tokens(urgent) + 1.0 - self._tokens
-        return max(c.WRITE_LOOK_MIN_S, missing / self._per_s) if missing > 0 else 0.0
+        return max(c.RATE_SLEEP_MIN_S, missing / self._per_s) if missing > 0 else 0.0
 
     def wait_s(self, ahead: int) -> float:
         """Seconds until an urgent caller may spend one token after `ahead` others have."""
@@ -96,7 +96,7 @@
 
     def _next_priority(self) -> WritePriority | None:
         background = self._queues[WritePriority.BACKGROUND]
-        if background and self._clock.now() - background[0][0] > c.WRITE_PATIENCE_S:
+        if background and self._clock.now() - background[0][0] > c.WRITE_STARVATION_S:
             return WritePriority.BACKGROUND
         # Under heavy user load an URGENT write is always waiting. Without every second turn for
         # NORMAL, no submitted task would start while the load lasts.
@@ -106,7 +106,7 @@
 
     def _is_normal_starved(self) -> bool:
         queue = self._queues[WritePriority.NORMAL]
-        return bool(queue) and self._clock.now() - queue[0][0] > c.WRITE_PATIENCE_S
+        return bool(queue) and self._clock.now() - queue[0][0] > c.WRITE_STARVATION_S
 
     def urgent_wait_s(self) -> float:
         """How long an URGENT writer that came now would wait."""
@@ -117,7 +117,7 @@
         while (priority := self._next_priority()) is not None:
             pause = self._rate.pause(priority is WritePriority.URGENT)
             if pause > 0:
-                await asyncio.sleep(min(pause, c.WRITE_LOOK_S))  # an URGENT one may come
+                await asyncio.sleep(min(pause, c.WRITE_RECHECK_S))  # an URGENT one may come
                 continue
             _, future = self._queues[priority].popleft()
             if not future.done():
--- a/pulleydeal/store/service.py
+++ b/pulleydeal/store/service.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pulleydeal import constants as c
-from pulleydeal.background import take_failure
+from pulleydeal.background import retrieve_exception
 from pulleydeal.clock import Clock
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
@@ -146,7 +146,7 @@
             async with asyncio.timeout(c.FRESH_TIMEOUT_S):
                 if self._pending_read is None:
                     self._pending_read = asyncio.ensure_future(self._read_revision())
-                    self._pending_read.add_done_callback(take_failure)
+                    self._pending_read.add_done_callback(retrieve_exception)
                 requested_at, revision = await asyncio.shield(self._pending_read)
                 await self.replica.wait_for_revision(revision)
                 self._mark_current(requested_at)
@@ -234,7 +234,7 @@
         outcome_unknown = False
         tries = 0
         # A change that may still be applied is never given up: it could add an uncounted task.
-        while outcome_unknown or tries < c.SCRATCH_TRIES:
+        while outcome_unknown or tries < c.MAX_COMMIT_TRIES:
             tries += 1
             while True:
                 if self._is_journaled(job_id):
@@ -280,7 +280,9 @@
                     await self._read_back(backoff)
             if ok:
                 return True
-        log.info("job %s: dropping changes after %d conflicting attempts", job_id, c.SCRATCH_TRIES)
+        log.info(
+            "job %s: dropping changes after %d conflicting attempts", job_id, c.MAX_COMMIT_TRIES
+        )
         return False
 
     def _is_journaled(self, job_id: str) -> bool:
--- a/pulleydeal/submissions/messages.py
+++ b/pulleydeal/submissions/messages.py
@@ -10,12 +10,12 @@
 JOB_ID = r"^j-[0-9]{1,30}$"
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-KINDS: dict[str, Literal["array", "gang", "service"]] = {
+KIND_BY_HAUL: dict[str, Literal["array", "gang", "service"]] = {
     "batch": "array",
     "gang": "gang",
     "standing": "service",
 }
-PRIORITY = {"low": 0, "standard": 1, "high": 2, "prod": 3}
+PRIORITY_BY_URGENCY = {"low": 0, "standard": 1, "high": 2, "prod": 3}
 
 
 class Submission(Struct):
@@ -46,8 +46,8 @@
             self.id,
             self.klass,
             self.team,
-            KINDS[self.kind],
-            PRIORITY[self.priority],
+            KIND_BY_HAUL[self.kind],
+            PRIORITY_BY_URGENCY[self.priority],
             self.tasks,
             self.cpus,
             self.gpus,
@@ -80,14 +80,14 @@
 SUBMISSION = msgspec.json.Decoder(Submission)
 
 
-def described(spec: JobSpec) -> dict[str, Any]:
+def as_submission(spec: JobSpec) -> dict[str, Any]:
     """A job as its user would submit it, for `GET /v1/jobs/ID/description`.
 
     Workers fetch the descriptions that users upload; for a job that a feature submitted, the
     platform gets the description here.
     """
-    haul_of = {kind: haul for haul, kind in KINDS.items()}
-    urgency_of = {priority: urgency for urgency, priority in PRIORITY.items()}
+    haul_of = {kind: haul for haul, kind in KIND_BY_HAUL.items()}
+    urgency_of = {priority: urgency for urgency, priority in PRIORITY_BY_URGENCY.items()}
     submission = Submission(
         spec.id,
         spec.klass,
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -32,7 +32,7 @@
 JOB_ID = re.compile(m.JOB_ID)
 
 
-def refusal(
+def rejection_reason(
     spec: r.JobSpec, teams: dict[str, Team], types: dict[str, r.MachineType], zones: list[str]
 ) -> str:
     """Why the job can never run; empty if it can."""
@@ -141,7 +141,7 @@
             return await self.show(spec.id)
         if not self.ready:
             return answer(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
-        reason = refusal(spec, self._teams, self._replica.types, self._zones)
+        reason = rejection_reason(spec, self._teams, self._replica.types, self._zones)
         if reason:
             return await self._reject(spec.id, 422, reason)
         if spec.waits_on and (reply := await self._dependency_error(spec)) is not None:
@@ -154,7 +154,7 @@
         if reason:
             return await self._reject(spec.id, 422, reason)
         key = r.job_key(spec.id)
-        for _ in range(c.SCRATCH_TRIES):
+        for _ in range(c.MAX_COMMIT_TRIES):
             conditions = {key: 0, r.VIEW_KEY: self._replica.view_version}
             if await self._store.commit(conditions, {key: record}):
                 self._metrics.accepted.inc()
@@ -180,7 +180,7 @@
 
     async def _dependency_error(self, spec: r.JobSpec) -> Response | None:
         """The answer to a job that can't be accepted because of the jobs it waits on; else None."""
-        if not self._membership.all_keep(c.FORMAT_WAITS):
+        if not self._membership.all_support(c.FORMAT_WAITS):
             # A node of an older version would start its tasks at once if it became the leader.
             return answer(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
@@ -241,7 +241,7 @@
         # A node of an older version would show the job as cancelled at once, so this one must not
         # say that it runs. Otherwise every node shows the job as running or queued until the
         # cancellation is confirmed, as that may take longer than a user may go without an answer.
-        if self._unconfirmed(job) and not self._membership.all_keep(c.FORMAT_VOUCHES):
+        if self._unconfirmed(job) and not self._membership.all_support(c.FORMAT_FRESHNESS):
             return answer(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
         return self._state_answer(200, self._state(job), logging.DEBUG)
 
--- a/pulleydeal/workers/incarnation.py
+++ b/pulleydeal/workers/incarnation.py
@@ -36,7 +36,7 @@
     if s.last_report_at is None:
         return False
     older = (report.session, report.seq) <= (s.session, s.seq)
-    return report.token < s.seen_token or (older and now - s.last_report_at > c.OVERTAKEN_S)
+    return report.token < s.seen_token or (older and now - s.last_report_at > c.REPORT_REORDER_S)
 
 
 def has_restarted(before: KnownState | None, report: m.Report) -> bool:
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from pulleydeal import constants as c
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
 from pulleydeal.http import Client, NoAnswer, Withdrawn
 from pulleydeal.workers import messages as m
@@ -58,7 +58,7 @@
         self._clients: dict[str, Client] = {}
         self._order_slots = asyncio.Semaphore(c.ORDERS_IN_FLIGHT)
         self._probe_slots = asyncio.Semaphore(c.PROBES_IN_FLIGHT)
-        self._background = Background("sending an order failed")
+        self._background = BackgroundTasks("sending an order failed")
 
     def drop(self, addr: str) -> None:
         """Closes the connections to an address that no longer belongs to an owned machine."""
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from pulleydeal import constants as c
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
 from pulleydeal.decisions import Action, Decision, DecisionLog
 from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.membership import freshness
 from pulleydeal.membership import view as views
-from pulleydeal.membership import vouching
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import WorkerTimes
@@ -92,7 +92,7 @@
             lambda machine: self.on_credit_change(machine),
         )
         self._registrar = MachineRegistrar(store, clock)
-        self._background = Background("registering a machine failed")
+        self._background = BackgroundTasks("registering a machine failed")
         self._dirty: set[str] = set()
         self._wake = asyncio.Event()
         # Oldest state copy with which leases may be renewed: a node cut off from the state service
@@ -257,8 +257,8 @@
         """
         limit_s, now = self._max_staleness_s, self._clock.now()
         return (
-            vouching.may_renew(self._store.fresh_as_of, limit_s, now)
-            or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
+            freshness.may_renew(self._store.fresh_as_of, limit_s, now)
+            or freshness.may_renew(self._membership.cancellations_known_at(), limit_s, now)
             or self._partition_policy.may_renew_while_stale(zone)
         )
 
@@ -302,7 +302,7 @@
         Cancellations known only from another node's heartbeat mark no machine as changed, so
         nothing is skipped while there are any.
         """
-        relayed = self._membership.relayed_cancels()
+        relayed = self._membership.relayed_cancellations()
         return not relayed and is_reconciled(tracked, now, self._times.lease_s)
 
     def _plan(self, tracked: TrackedMachine) -> Plan:
@@ -312,7 +312,7 @@
         with self._lock:
             plan = reconcile(
                 tracked,
-                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels()),
+                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancellations()),
                 now,
                 self._times.lease_s,
                 partial(self._partition_policy.no_peer_renewed, tracked),
@@ -337,13 +337,13 @@
     async def work(self) -> None:
         """One round: reconciles the machines that changed and sends urgent commands directly."""
         try:
-            async with asyncio.timeout(c.LOOK_ROUND_S):
+            async with asyncio.timeout(c.MACHINE_SWEEP_S):
                 await self._wake.wait()
         except TimeoutError:
             pass
         self._wake.clear()
         now = self._clock.now()
-        if now - self._full_round_at >= c.LOOK_ROUND_S:
+        if now - self._full_round_at >= c.MACHINE_SWEEP_S:
             # Leases expire and kills are repeated without any change that marks the machine.
             self._full_round_at = now
             self._dirty.update(self.machines)
--- a/pulleydeal/zones/deafness.py
+++ b/pulleydeal/zones/deafness.py
@@ -46,7 +46,7 @@
             for zone, deafness in self._zones.items()
             if deafness.observe(zone in only_here and zone not in deaf)
         }
-        if newly_deaf and await self._membership.say_deaf(deaf | newly_deaf):
+        if newly_deaf and await self._membership.record_deaf_zones(deaf | newly_deaf):
             for zone in newly_deaf:
                 self._zones[zone].record_handover()
         elif deaf:
@@ -62,7 +62,7 @@
             if self._zones[zone].record_probes(answered, now)
         }
         if recovered:
-            await self._membership.say_deaf(deaf - recovered)
+            await self._membership.record_deaf_zones(deaf - recovered)
 
     async def _probe_zone(self, zone: str) -> bool:
         """Whether the zone's machines can be reached from here; sends them no commands."""
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -154,7 +154,7 @@
     # --- proxy renewal ----------------------------------------------------------------------
     def _local_node(self) -> decide.LocalNode:
         now = self._clock.now()
-        heard = self._siblings.heard_s()
+        heard = self._siblings.silence_s()
         peer_silence_s = min(
             (
                 now - self._served_at.get(node, -1e9) if contact.zone == self._zone else heard[node]
@@ -172,7 +172,7 @@
         )
 
     def _all_enabled(self) -> bool:
-        return self._membership.all_serve("zones", z.FORMAT)
+        return self._membership.all_enable("zones", z.FORMAT)
 
     def renews_for_owner(self, report: m.Report) -> bool:
         node = self._local_node()
@@ -181,7 +181,7 @@
             name
             for name in reported
             if (job := self._replica.jobs.get(name)) is not None and job.is_cancelled
-        } | (reported & self._membership.relayed_cancels())
+        } | (reported & self._membership.relayed_cancellations())
         epoch = report.token >> c.EPOCH_SHIFT
         why = decide.renewal_refusal(node, report.zone, epoch, reported, cancelled)
         if why:
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -13,7 +13,7 @@
 from pulleydeal.clock import Clock
 from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
 from pulleydeal.store import records as r
-from pulleydeal.submissions.messages import described
+from pulleydeal.submissions.messages import as_submission
 
 EVERY_S = 3.0  # between two registrations of a copy
 
@@ -165,5 +165,5 @@
     spec = found[0].get("spec") if found else None
     if spec is None:
         return None
-    words = described(msgspec.convert(spec, r.JobSpec))
+    words = as_submission(msgspec.convert(spec, r.JobSpec))
     return words | {"_run_s": words["haul_s"]}
--- a/standins/cron_engine.py
+++ b/standins/cron_engine.py
@@ -105,7 +105,7 @@
     def wall(self) -> float:
         return self.world.now + self._off_s
 
-    def all_serve(self, feature: str, format_: int) -> bool:
+    def all_enable(self, feature: str, format_: int) -> bool:
         return True
 
     def leads(self, thing: str) -> bool:
--- a/standins/owner.py
+++ b/standins/owner.py
@@ -37,7 +37,7 @@
     me = "winch-0"
     totals: Any = None
 
-    def send_beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Nobody listens."""
 
 
--- a/tests/model/blind_owner.py
+++ b/tests/model/blind_owner.py
@@ -4,7 +4,7 @@
 it is a member from the start or joins later. The state service answers some of the nodes or none.
 Links may hold heartbeats back and deliver them later. B may crash and restart without state. The
 rule is broken if M's task still runs more than `cancel_s` after the user was told that it is
-cancelled. The decisions are those of `pulleydeal.membership.vouching`.
+cancelled. The decisions are those of `pulleydeal.membership.freshness`.
 
 Times are ages in ticks, capped where a larger age makes no difference. The number of changes of
 the service and the links is bounded. Without any one of the GUARDS there must be a counterexample;
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, replace
 from unittest import mock
 
-from pulleydeal.membership import vouching
-from pulleydeal.membership.messages import Beat, Vouch
+from pulleydeal.membership import freshness
+from pulleydeal.membership.messages import FreshnessProof, Heartbeat
 from pulleydeal.store import records as r
 from pulleydeal.store.job import Job
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heartbeat:
+class HeartbeatState:
     """A heartbeat to L: the last one received from a sibling, or one held back on its way."""
 
     echo: int = OLD  # age of L's stamp in it; OLD if there is none
@@ -74,16 +74,16 @@
     b_stamp: int = 0
     b_saw_l: int = 1  # newest epoch that L's heartbeats reported to B; b_saw_c: C's
     b_saw_c: int = 1
-    from_c: Heartbeat = Heartbeat(0)
-    from_b: Heartbeat = Heartbeat(0)
-    held_c: Heartbeat | None = None
-    held_b: Heartbeat | None = None
+    from_c: HeartbeatState = HeartbeatState(0)
+    from_b: HeartbeatState = HeartbeatState(0)
+    held_c: HeartbeatState | None = None
+    held_b: HeartbeatState | None = None
 
 
 Step = tuple[str, State]
 
 
-def _aged(heartbeat: Heartbeat | None) -> Heartbeat | None:
+def _aged(heartbeat: HeartbeatState | None) -> HeartbeatState | None:
     if heartbeat is None:
         return None
     return replace(heartbeat, echo=min(OLD, heartbeat.echo + 1), age=min(2, heartbeat.age + 1))
@@ -159,16 +159,16 @@
 def confirm_cancellation(s: State) -> State:
     if s.cancelled and s.told < 0 and s.b_knows and s.b_from:
         shown = {"L": s.b_saw_l, "C": s.b_saw_c}
-        known = vouching.known_as_member(s.b_from, shown, ["L", "C"])
+        known = freshness.known_as_member(s.b_from, shown, ["L", "C"])
         if known or not s.task:
             return replace(s, told=0)
     return s
 
 
-def heartbeat_of(sender: str, stamp: int, epoch: int, loaded: bool, knows: bool) -> Heartbeat:
+def heartbeat_of(sender: str, stamp: int, epoch: int, loaded: bool, knows: bool) -> HeartbeatState:
     jobs = [Job("j-1", 1, r.JobRecord("cancelled", 1))] if knows else []
-    names, complete_from = vouching.announced_cancellations(jobs, loaded)
-    return Heartbeat(stamp, epoch, complete_from == 0, bool(names))
+    names, complete_from = freshness.announced_cancellations(jobs, loaded)
+    return HeartbeatState(stamp, epoch, complete_from == 0, bool(names))
 
 
 def exchange_heartbeats(s: State) -> State:
@@ -210,21 +210,21 @@
         )
 
 
-def relayed(s: State, heard: Heartbeat) -> bool:
+def relayed(s: State, heard: HeartbeatState) -> bool:
     return s.l_relayed or heard.names
 
 
-def beat_of(heard: Heartbeat) -> Beat:
+def beat_of(heard: HeartbeatState) -> Heartbeat:
     echoes = {"L": ("l", float(-heard.echo))} if heard.echo < OLD else {}
     # L's replica has revision 5; an incomplete list is complete only from a later one on.
-    vouch = Vouch("x", 0.0, 0 if heard.complete else 10, echoes)
-    return Beat(heard.epoch, vouch=vouch)
+    proof = FreshnessProof("x", 0.0, 0 if heard.complete else 10, echoes)
+    return Heartbeat(heard.epoch, proof=proof)
 
 
-def vouched_at(s: State) -> float:
+def cancellations_known_at(s: State) -> float:
     view = r.View(s.l_epoch, members(s, s.l_epoch))
     heard = {"C": beat_of(s.from_c), "B": beat_of(s.from_b)}
-    return vouching.vouched_at(view, "L", "l", 5, heard, 0.0)
+    return freshness.cancellations_known_at(view, "L", "l", 5, heard, 0.0)
 
 
 def reports(s: State) -> Iterator[Step]:
@@ -232,7 +232,7 @@
     if s.renewed > LEASE:
         s = replace(s, task=False)
     yield "", s
-    if vouching.may_renew(max(float(-s.l_current), vouched_at(s)), LIMIT, 0.0):
+    if freshness.may_renew(max(float(-s.l_current), cancellations_known_at(s)), LIMIT, 0.0):
         if s.l_knows or s.l_relayed:
             # Here the kill takes effect at once. It may in fact take a while, and the answer renews
             # the lease all the same.
@@ -290,15 +290,15 @@
     others = [(s.from_c, "C"), (s.from_b, "B")]
     there = members(s, s.l_epoch)
     fresh = all(h.age <= 1 and h.epoch == s.l_epoch for h, name in others if name in there)
-    return 0.0 if fresh else vouching.NEVER
+    return 0.0 if fresh else freshness.NEVER
 
 
 THIS_MODULE = sys.modules[__name__]
 GUARDS: dict[str, tuple[object, str, Callable[..., object]]] = {
-    "a beat counts from when it arrived": (THIS_MODULE, "vouched_at", _arrival),
+    "a beat counts from when it arrived": (THIS_MODULE, "cancellations_known_at", _arrival),
     "a watch that ends empty proves": (THIS_MODULE, "ends_empty", lambda _: 0),
-    "who joined tells at once": (vouching, "known_as_member", lambda *_: True),
-    "blind without a bound": (vouching, "may_renew", lambda *_: True),
+    "who joined tells at once": (freshness, "known_as_member", lambda *_: True),
+    "blind without a bound": (freshness, "may_renew", lambda *_: True),
 }
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,8 +12,8 @@
 def test_writes_are_admitted_up_to_the_longest_wait() -> None:
     admission = Admission()
     assert admission.retry_after_s(0.0, 0.0, 20.0) is None
-    assert admission.retry_after_s(0.0, c.QUEUE_MOST_S, 20.0) is None
-    assert admission.retry_after_s(0.0, c.QUEUE_MOST_S + 0.1, 20.0) == 1
+    assert admission.retry_after_s(0.0, c.MAX_QUEUE_WAIT_S, 20.0) is None
+    assert admission.retry_after_s(0.0, c.MAX_QUEUE_WAIT_S + 0.1, 20.0) == 1
 
 
 def test_retry_times_follow_the_write_rate() -> None:
@@ -27,8 +27,8 @@
     admission = Admission()
     delays = [admission.retry_after_s(0.0, 1.0, 10.0) or 0 for _ in range(2000)]
     late = Counter(delays[400:])
-    assert max(delays) <= c.RETRY_MOST_S and min(late) >= c.RETRY_MOST_S / 2
-    assert max(late.values()) < 1.3 * 1600 / (c.RETRY_MOST_S / 2)
+    assert max(delays) <= c.MAX_RETRY_AFTER_S and min(late) >= c.MAX_RETRY_AFTER_S / 2
+    assert max(late.values()) < 1.3 * 1600 / (c.MAX_RETRY_AFTER_S / 2)
 
 
 def test_a_burst_is_admitted_at_the_write_rate_and_waits_no_longer_than_the_limit() -> None:
@@ -61,7 +61,7 @@
     virtually(work)
     assert admitted + refused == 1600
     assert admitted >= 0.9 * 16 * 10
-    assert max(waits) < c.QUEUE_MOST_S + 0.2
+    assert max(waits) < c.MAX_QUEUE_WAIT_S + 0.2
 
 
 def test_work_gets_every_second_turn_while_users_never_stop() -> None:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -19,7 +19,7 @@
 from pulleydeal.store.client import _decode_reply as understood_state
 from pulleydeal.store.messages import CHANGES, PAGE, REVISION
 from pulleydeal.submissions import messages as m
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 from pulleydeal.workers.messages import REPORT
 
 VALID = {
@@ -97,7 +97,9 @@
     ],
 )
 def test_a_job_that_can_never_run_is_refused(changes: dict[str, object], why: str) -> None:
-    found = refusal(parse(**changes), {"core": Team("core", gpus_max=4.0)}, TYPES, ["east"])
+    found = rejection_reason(
+        parse(**changes), {"core": Team("core", gpus_max=4.0)}, TYPES, ["east"]
+    )
     assert why in found and bool(found) == bool(why)
 
 
@@ -216,9 +218,11 @@
 def test_user_requests_over_the_limits_are_refused_and_workers_keep_their_share() -> None:
     limit = 20
     refused, others = crowd(limit, limit - 2)
-    assert [status for status, _ in refused] == [503] * (limit - 2 - int(limit * c.CROWD_SHARE))
+    assert [status for status, _ in refused] == [503] * (
+        limit - 2 - int(limit * c.USER_CONNECTION_SHARE)
+    )
     assert others == [200, 200]
-    refused, others = crowd(10 * c.CROWD_AT_ONCE, c.CROWD_AT_ONCE + 5)
+    refused, others = crowd(10 * c.USER_REQUESTS_AT_ONCE, c.USER_REQUESTS_AT_ONCE + 5)
     assert [status for status, _ in refused] == [503] * 5
     assert others == [200, 200]
 
--- a/tests/test_credits.py
+++ b/tests/test_credits.py
@@ -28,7 +28,7 @@
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
-from pulleydeal.membership.messages import Beat, Total, pack_beat, unpack_beat
+from pulleydeal.membership.messages import CreditTotal, Heartbeat, pack_heartbeat, unpack_heartbeat
 
 IMAGES = {"img": (2.0, 1.0), "other": (8.0, 4.0)}
 BORROWERS = {"guest"}  # teams that use more than their guarantee
@@ -204,8 +204,10 @@
     assert unpack_release(pack_release(free)) == free
     cached = {"vm-1": {"a": 1.5, "b": 2.0}, "vm-2": {}}
     assert unpack_cached_images(pack_cached_images(cached)) == cached
-    beat = Beat(9, [Total("t4", "east", True, 1.0, 2.0, 3.0, 1.0, 2.0, IMAGES, IMAGES)], ["j-7"])
-    assert unpack_beat(pack_beat(beat)) == beat
+    beat = Heartbeat(
+        9, [CreditTotal("t4", "east", True, 1.0, 2.0, 3.0, 1.0, 2.0, IMAGES, IMAGES)], ["j-7"]
+    )
+    assert unpack_heartbeat(pack_heartbeat(beat)) == beat
 
 
 def test_capacity_being_freed_is_published_for_its_task_and_not_as_free() -> None:
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -195,7 +195,7 @@
     assert list(records.names()) == ["a/b"] and records.mark("a/b") == 6
     assert records.get("a/b", dict) == {"x": 1} and records.get("none", dict) is None
     replica.end_load(7)
-    node.membership.enter()
+    node.membership.ensure_new_incarnation()
     put(r.VIEW_KEY, r.View(1, {"winch-0": node.membership.incarnation}), 8)
     for version, name in enumerate(("winch-0", "winch-1"), 10):
         put(r.software_key(name), r.Software(2, "0.3.0", {"trial": 2}), version)
--- a/tests/test_incarnation.py
+++ b/tests/test_incarnation.py
@@ -78,7 +78,7 @@
     fake: Any = FakeStore()
     membership = Membership(settings, fake, fake, fake, random.Random(7))
     assert membership.incarnation == same and not membership.is_member
-    membership.enter()
+    membership.ensure_new_incarnation()
     assert membership.incarnation != same and not membership.is_member
 
 
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -98,12 +98,12 @@
         record = msgspec.Raw(msgspec.json.encode(r.JobRecord("open", 2, 0.0, SPEC)))
         assert service.apply({}, [m.put(r.job_key("j-1"), record, None)])
         node.replica.apply(m.Changes(1, [m.Event(1, r.job_key("j-1"), None, record)]))
-        service.answers = ["lost", *["conflict"] * (c.SCRATCH_TRIES + 3)]
+        service.answers = ["lost", *["conflict"] * (c.MAX_COMMIT_TRIES + 3)]
         return service, await node.change_job("j-1", bind, WritePriority.NORMAL)
 
     service, ok = asyncio.run(run())
     assert ok
-    assert service.commits == c.SCRATCH_TRIES + 5
+    assert service.commits == c.MAX_COMMIT_TRIES + 5
     assert [service.apply(*late) for late in service.delayed] == [False]
 
 
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -66,7 +66,9 @@
         return result
 
     users, worker = asyncio.run(run())
-    assert sorted(users) == [200] * c.LATE_CROWD_AT_ONCE + [503] * (10 - c.LATE_CROWD_AT_ONCE)
+    assert sorted(users) == [200] * c.LATE_USER_REQUESTS_AT_ONCE + [503] * (
+        10 - c.LATE_USER_REQUESTS_AT_ONCE
+    )
     assert worker == 200
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from pulleydeal import constants as c
-from pulleydeal.membership.messages import Total
+from pulleydeal.membership.messages import CreditTotal
 from pulleydeal.placement.owner_selection import OwnerSelector, choose_gang_zone
 from pulleydeal.placement.pending import PendingRequest
 from pulleydeal.store import records as r
@@ -17,11 +17,11 @@
     )
 
 
-def total(gpus: float, spot: bool = False, **overrides: object) -> Total:
-    return Total("t4", "east", spot, 8.0, gpus, 8.0, 8.0, gpus, **overrides)  # type: ignore[arg-type]
+def total(gpus: float, spot: bool = False, **overrides: object) -> CreditTotal:
+    return CreditTotal("t4", "east", spot, 8.0, gpus, 8.0, 8.0, gpus, **overrides)  # type: ignore[arg-type]
 
 
-def choose(spec_: r.JobSpec, *totals: Total, current: PendingRequest | None = None) -> str:
+def choose(spec_: r.JobSpec, *totals: CreditTotal, current: PendingRequest | None = None) -> str:
     totals_by_owner = {f"winch-{i}": [t] for i, t in enumerate(totals)}
     return OwnerSelector(totals_by_owner, 100.0).choose(spec_, 0, ZONES, current)
 
@@ -53,10 +53,10 @@
 
 def test_an_owner_that_grants_nothing_is_left_after_a_while() -> None:
     current_request = PendingRequest(
-        "winch-1", 99.5, 90.0, ZONES, owner_since=100.0 - c.ASK_STAY_S / 2
+        "winch-1", 99.5, 90.0, ZONES, owner_since=100.0 - c.ASK_MOVE_AFTER_S / 2
     )
     assert choose(spec(1), total(2.0), total(3.0), current=current_request) == "winch-1"
-    current_request.owner_since = 100.0 - c.ASK_STAY_S
+    current_request.owner_since = 100.0 - c.ASK_MOVE_AFTER_S
     assert choose(spec(1), total(2.0), total(3.0), current=current_request) == "winch-0"
     assert choose(spec(1), total(0.0), total(3.0), current=current_request) == "winch-1"
 
@@ -72,4 +72,6 @@
     assert zone_after({"west": 802}, c.ZONE_TRY_S - 1) == "east"
     assert zone_after({"west": 802}, c.ZONE_TRY_S) == "west"
     assert zone_after({"west": 801}, c.ZONE_TRY_S) == "east"  # one less than both of its tasks need
-    assert zone_after({"west": 801}, c.ASK_STAY_S) == "west"  # tried in vain: the gang moves on
+    assert (
+        zone_after({"west": 801}, c.ASK_MOVE_AFTER_S) == "west"
+    )  # tried in vain: the gang moves on
--- a/tests/test_rate.py
+++ b/tests/test_rate.py
@@ -51,7 +51,7 @@
         await write("user", WritePriority.URGENT)
         assert len(order) <= 6 and order[-1] == "user"
         await waiting
-        assert 0 < order.index("sweep") < c.WRITE_PATIENCE_S * 4 + 4
+        assert 0 < order.index("sweep") < c.WRITE_STARVATION_S * 4 + 4
 
     virtually(work)
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -311,7 +311,7 @@
         wall = now
 
     app = App(settings, Clock(), random.Random(1), None, _on())
-    app.membership.enter()
+    app.membership.ensure_new_incarnation()
     put(app, r.VIEW_KEY, r.View(1, {"winch-0": app.membership.incarnation}), 1)
     put(app, r.software_key("winch-0"), r.Software(2, "0.3.0", {"rollouts": rc.FORMAT}), 2)
     app.replica.end_load(3)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -75,7 +75,7 @@
     owner.round()
     assert owner.stopped == []
     owner.bind("vm-9", spec("j-more"))  # elsewhere: the team now uses more than its guarantee
-    owner.pass_time(c.LOOK_AGAIN_S + 0.1)
+    owner.pass_time(c.FULL_RESCAN_S + 0.1)
     owner.ask(spec("j-owed", team="other"), guaranteed=True)
     owner.round()
     assert owner.stopped == ["j-own/0"]
@@ -85,13 +85,13 @@
     owner = Owner(machines={"vm-1": "east"}, gpus=1.0)
     owner.join("winch-1", "first")
     owner.bind("vm-1", spec("j-a", image="seen"))
-    owner.pass_time(c.TELL_IMAGES_S + 0.1)
+    owner.pass_time(c.IMAGES_SEND_DELAY_S + 0.1)
     owner.round()
     owner.told.clear()
     owner.join("winch-2", "first")
     owner.round()
     assert owner.told == {}  # its connections may not be up yet
-    owner.pass_time(c.TELL_IMAGES_S + 0.1)
+    owner.pass_time(c.IMAGES_SEND_DELAY_S + 0.1)
     owner.round()
     assert owner.told == {"winch-2": {"vm-1": {"seen": 50.0}}}
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -43,7 +43,7 @@
     path = tmp_path / "day.txt"
     path.write_text("1 submit j-1 batch 1 5\n2 poll j-1\n9 poll j-1")
     assert play(path, 1).failures == []
-    monkeypatch.setattr(service, "take_failure", without_ears)
+    monkeypatch.setattr(service, "retrieve_exception", without_ears)
     monkeypatch.setattr(Store, "_read_revision", fails)
     monkeypatch.setattr(c, "FRESH_TIMEOUT_S", 0.01)
     assert any("for a test" in line for line in play(path, 1).failures)
@@ -195,7 +195,7 @@
     path.write_text("1 submit j-1 batch 1 5\n12 odd_requests\n45 expect j-1 done")
     played = play(path, 1)
     assert played.rules.broken == played.failures == [] and len(played.rules.unfit) > 90
-    monkeypatch.setattr(submissions, "refusal", lambda *_: "")
+    monkeypatch.setattr(submissions, "rejection_reason", lambda *_: "")
     caught = play(path, 1)
     assert any("unfit: j-7" in line for line in caught.rules.broken)
     assert any("unknown team: 201" in line for line in caught.failures)
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -95,7 +95,7 @@
     class NodeWithRelayedCancels(FakeNode):
         relayed: ClassVar[set[str]] = set()
 
-        def relayed_cancels(self) -> set[str]:
+        def relayed_cancellations(self) -> set[str]:
             return self.relayed
 
     node = NodeWithRelayedCancels()
@@ -124,7 +124,9 @@
             copied = copy.deepcopy(tracked)
             lease_s = self._times.lease_s
             no_peer_renewed = partial(self._partition_policy.no_peer_renewed, tracked)
-            desired = desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels())
+            desired = desired_tasks(
+                self._replica, tracked.id, self._membership.relayed_cancellations()
+            )
             plan = reconcile(copied, desired, now, lease_s, no_peer_renewed)
             counts["skipped" if plan.is_empty else "missed"] += 1
         return found
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -261,5 +261,5 @@
         return sum(client._write_rate.take(1.0, False) == 0 for _ in range(200))
 
     assert writes_in_one_second([None, None]) == 30
-    assert writes_in_one_second([0.0, 0.0]) == int(90 - 2 * 30 * c.LEND_KEEP)
+    assert writes_in_one_second([0.0, 0.0]) == int(90 - 2 * 30 * c.IDLE_WRITE_SHARE)
     assert writes_in_one_second([30.0, 30.0]) == 30  # all nodes are busy: each keeps its share
--- a/tests/test_untold.py
+++ b/tests/test_untold.py
@@ -48,7 +48,7 @@
     known_to_all = True
     older_version_serves = False
 
-    def all_keep(self, format_: int) -> bool:
+    def all_support(self, format_: int) -> bool:
         return not self.older_version_serves
 
     def known_as_member(self) -> bool:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(
     ("name", "unpack", "pack"),
     [
-        ("BEAT", membership_messages.unpack_beat, membership_messages.pack_beat),
+        ("BEAT", membership_messages.unpack_heartbeat, membership_messages.pack_heartbeat),
         ("ASK", credit_messages.unpack_credit_request, credit_messages.pack_credit_request),
         ("HOLD", credit_messages.unpack_hold, credit_messages.pack_hold),
         ("FREE", credit_messages.unpack_release, credit_messages.pack_release),
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -28,8 +28,8 @@
 ) -> View | None:
     """The view as a0 changes it, with b0 heard as given and c0 without trouble."""
     hears_me = {"b0", "c0"} if heard_back else {"c0"}
-    heard_s, steady_s = {"b0": heard, "c0": 0.1}, {"b0": steady, "c0": 99.0}
-    return views.with_cuts(view, "a0", ZONES, heard_s, steady_s, hears_me)
+    silence_s, steady_s = {"b0": heard, "c0": 0.1}, {"b0": steady, "c0": 99.0}
+    return views.with_cuts(view, "a0", ZONES, silence_s, steady_s, hears_me)
 
 
 def test_a_lost_heartbeat_changes_nothing_and_a_flapping_link_stays_cut() -> None:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -95,7 +95,7 @@
     def shut_out(self) -> bool:
         return False
 
-    def all_keep(self, format_: int) -> bool:
+    def all_support(self, format_: int) -> bool:
         return self.all_nodes_current
 
     def wall(self) -> float:
@@ -222,11 +222,11 @@
     for version, node in enumerate(("winch-0", "winch-1"), 1):
         put(r.software_key(node), new, version)
         put(r.member_key(node), r.Member("1", c.FORMAT), version)
-    assert not membership.all_keep(c.FORMAT)  # winch-2 is away and may come back older
+    assert not membership.all_support(c.FORMAT)  # winch-2 is away and may come back older
     put(r.software_key("winch-2"), new, 5)
-    assert membership.all_keep(c.FORMAT)  # winch-2 has announced it and may be away now
+    assert membership.all_support(c.FORMAT)  # winch-2 has announced it and may be away now
     put(r.member_key("winch-2"), {"incarnation": "7"}, 6)
-    assert not membership.all_keep(c.FORMAT)  # winch-2 was rolled back to the older version
+    assert not membership.all_support(c.FORMAT)  # winch-2 was rolled back to the older version
 
 
 def test_overload_refuses_new_writes_but_still_answers_about_known_jobs() -> None:
--- a/tests/test_waiting_turns.py
+++ b/tests/test_waiting_turns.py
@@ -52,8 +52,8 @@
         return rules.job_rank(job, objectives, waited_s)
 
     short_job_work = 15.0  # waiting work of a short job
-    assert job_rank(c.BEGIN_S) == (0, 12000.0)
-    assert job_rank(c.BEGIN_S + 1) < (0, short_job_work)
+    assert job_rank(c.ARRAY_FIRST_START_S) == (0, 12000.0)
+    assert job_rank(c.ARRAY_FIRST_START_S + 1) < (0, short_job_work)
     assert job_rank(300.0) < (0, short_job_work)  # also after its own objective is missed
     assert job_rank(300.0, bound_tasks={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
     # It had started and was preempted.
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -43,10 +43,10 @@
     def owns(self, machine: str, zone: str) -> bool:
         return True
 
-    def relayed_cancels(self) -> set[str]:
+    def relayed_cancellations(self) -> set[str]:
         return set()
 
-    def vouched_at(self) -> float:
+    def cancellations_known_at(self) -> float:
         return -1e9
 
     def put(self, key: str, value: object) -> None:
