--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -10,13 +10,13 @@
 from pulleydeal.credits.service import Credits
 from pulleydeal.features.context import FeatureContext, Service, Step
 from pulleydeal.features.settings import Features
-from pulleydeal.features.switch import create_features, create_lease_policy
+from pulleydeal.features.switch import create_features, create_partition_policy
+from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
-from pulleydeal.fleet.types import Types
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.journal.service import Journal
-from pulleydeal.lateness import Lateness, Precedence
+from pulleydeal.lateness import LoopLag, Precedence
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
@@ -24,13 +24,13 @@
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Settings
 from pulleydeal.store.client import StateClient
-from pulleydeal.store.limits import tightest
+from pulleydeal.store.limits import effective_limits
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff, Store, forever
 from pulleydeal.submissions.service import Submissions
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 log = logging.getLogger("pulleydeal")
 
@@ -52,37 +52,37 @@
         limits = deployment.state
         self._settings = settings
         self.metrics = Metrics()
-        self.lateness = Lateness(clock)
+        self.lateness = LoopLag(clock)
         self.client = StateClient(settings.endpoints.state, clock, limits, nodes)
         self.replica = Replica()
-        self.store = Store(self.client, self.replica, clock, rng, tightest(limits))
+        self.store = Store(self.client, self.replica, clock, rng, effective_limits(limits))
         self.siblings = Siblings(settings, clock)
         self.membership = Membership(settings, self.store, self.siblings, clock, rng)
         self.journal = self.store.journal = Journal(self.membership, self.store, Backoff(rng))
         teams, zones = settings.teams, deployment.zones
-        stations: dict[str, Station] = {}
+        machines: dict[str, TrackedMachine] = {}
         context = FeatureContext(
-            self.membership, self.siblings, self.store, clock, self.metrics, deployment, stations
+            self.membership, self.siblings, self.store, clock, self.metrics, deployment, machines
         )
-        lease_policy, early_features = create_lease_policy(features, context)
+        partition_policy, early_features = create_partition_policy(features, context)
         self.workers = Workers(
             self.membership,
             self.store,
             deployment.workers,
             clock,
             self.metrics,
-            stations,
-            lease_policy,
+            machines,
+            partition_policy,
         )
         self.eviction = Eviction(
             self.membership,
             self.store,
             deployment.workers,
             clock,
-            stations,
-            self.workers.commanding,
-            lease_policy,
-            rules.aimed(deployment.objectives),
+            machines,
+            self.workers.commander,
+            partition_policy,
+            rules.classes_with_objective(deployment.objectives),
         )
         self.credits = Credits(
             self.membership,
@@ -107,7 +107,7 @@
             policy,
         )
         cloud = Cloud(settings.endpoints.cloud, clock, deployment.cloud.rps)
-        self.types = Types(self.membership, self.store, cloud, clock)
+        self.catalog_updater = CatalogUpdater(self.membership, self.store, cloud, clock)
         self.fleet = Fleet(
             self.membership,
             self.store,
@@ -118,8 +118,8 @@
             clock,
             limits,
             policy,
-            self.eviction.unseen_zones,
-            lease_policy,
+            self.eviction.unreachable_zones,
+            partition_policy,
         )
         self.submissions = Submissions(
             self.membership,
@@ -129,14 +129,14 @@
             clock,
             self.metrics,
             self.placement.reason,
-            lease_policy,
+            partition_policy,
         )
         sockets = int(deployment.machine_limits.max_sockets * c.SOCKET_SHARE_SERVER)
         self.server = Server(
             self.handle,
             sockets,
             crowd="/submissions",
-            crowd_at_once=self.lateness.users_at_once,
+            crowd_at_once=self.lateness.max_user_requests,
         )
 
         service = Service(
@@ -146,10 +146,10 @@
             clock,
             self.metrics,
             deployment,
-            stations,
+            machines,
             teams,
             zones,
-            lease_policy,
+            partition_policy,
             lambda: self.submissions.ready,
             self.placement.reason,
             self.journal,
@@ -182,8 +182,8 @@
         self.metrics.epoch.set(self.membership.epoch)
         self.metrics.store_requests.set(self.client.requests)
         self.metrics.store_refusals.set(self.client.refusals)
-        self.metrics.rejected_connections.set(self.siblings.strangers)
-        self.metrics.loop_lateness.set(self.lateness.late_s)
+        self.metrics.rejected_connections.set(self.siblings.rejected_connections)
+        self.metrics.loop_lateness.set(self.lateness.lag_s)
         self.metrics.checkin_age.set(self.workers.oldest_report_s())
         return self.metrics.text()
 
@@ -201,20 +201,20 @@
     def _loops(self) -> dict[str, Step]:
         placement = {"credits": self.credits.work, "placement": self.placement.work}
         upkeep = {
-            "catalogue": self.types.catalog,
+            "catalogue": self.catalog_updater.update,
             "rent": self.fleet.rent,
-            "return": self.fleet.give_back,
-            "list": self.fleet.listing,
+            "return": self.fleet.return_machines,
+            "list": self.fleet.check_listing,
             "journal": self.journal.compact,
         }
         return {
-            "lateness": self.lateness.watch,
+            "lateness": self.lateness.measure,
             "follow": self.store.follow,
-            "membership": self.membership.keep,
-            "view": self.membership.tend,
-            "beat": self.membership.beat,
+            "membership": self.membership.maintain_membership,
+            "view": self.membership.maintain_view,
+            "beat": self.membership.heartbeat,
             "workers": self.workers.work,
-            "machines": self.eviction.tend,
+            "machines": self.eviction.run_round,
             **{k: self._delayed(Precedence.PLACEMENT, step) for k, step in placement.items()},
             **{k: self._delayed(Precedence.UPKEEP, step) for k, step in upkeep.items()},
         }
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -13,7 +13,7 @@
 
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.service import Store
 
 T = TypeVar("T")
@@ -28,7 +28,7 @@
         self._membership = membership
         self._store = store
         membership.serves[feature] = format_
-        self._records = store.replica.keep_feature(feature)
+        self._records = store.replica.track_feature(feature)
 
     def key(self, name: str) -> str:
         return r.feature_key(self.feature, name)
@@ -40,7 +40,7 @@
         return (
             self._store.replica.loaded
             and self._membership.is_member
-            and self._membership.all_serve(self.feature, self.format)
+            and self._membership.all_enable(self.feature, self.format)
         )
 
     def leads(self, name: str) -> bool:
@@ -70,17 +70,17 @@
         deletes: list[str] | None = None,
         other_puts: dict[str, object] | None = None,
         other_versions: dict[str, int] | None = None,
-        turn: Turn = Turn.WORK,
+        priority: WritePriority = WritePriority.NORMAL,
     ) -> bool:
         """Commits one transaction: own records by name, `other_puts` (such as a job's) by key.
 
         Returns True once it is applied and visible in the replica, False if the view or a version
         had changed and nothing was written. Raises the same errors as `Store.commit`.
         """
-        conditions = {r.VIEW: self._store.replica.view_version}
+        conditions = {r.VIEW_KEY: self._store.replica.view_version}
         conditions |= {self.key(name): version for name, version in read_versions.items()}
         conditions |= other_versions or {}
         written: dict[str, Any] = {self.key(name): value for name, value in puts.items()}
         written |= other_puts or {}
         deleted_keys = [self.key(name) for name in deletes or []]
-        return await self._store.commit(conditions, written, deleted_keys, turn=turn)
+        return await self._store.commit(conditions, written, deleted_keys, priority=priority)
--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -2,16 +2,16 @@
 
 from pulleydeal.features.context import Feature, FeatureContext, Service
 from pulleydeal.features.settings import Features
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 
-def create_lease_policy(
+def create_partition_policy(
     features: Features, context: FeatureContext
-) -> tuple[Keeping, list[Feature]]:
+) -> tuple[PartitionPolicy, list[Feature]]:
     """The policy for renewing leases and for reporting cancellations, and the feature that provides
     it, if enabled."""
     if features.zones is None:
-        return Keeping(), []
+        return PartitionPolicy(), []
     from pulleydeal.zones.service import Zones
 
     zones = Zones(context)
--- a/pulleydeal/http.py
+++ b/pulleydeal/http.py
@@ -74,14 +74,14 @@
         handler: Handler,
         limit: int,
         crowd: str = "",
-        crowd_at_once: Callable[[], int] = lambda: c.CROWD_AT_ONCE,
+        crowd_at_once: Callable[[], int] = lambda: c.USER_REQUESTS_AT_ONCE,
     ) -> None:
         """`crowd_at_once`: the current limit of concurrent requests below `crowd`."""
         self._handler = handler
         self._crowd_at_once = crowd_at_once
         self._limit = limit
         self._throttled_prefix = crowd
-        self._throttled_limit = int(limit * c.CROWD_SHARE)
+        self._throttled_limit = int(limit * c.USER_CONNECTION_SHARE)
         self._open = 0
         self._throttled_open = 0
         self._crowd_busy = 0
--- a/pulleydeal/journal/decide.py
+++ b/pulleydeal/journal/decide.py
@@ -8,7 +8,7 @@
 from pulleydeal import constants as c
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import Fact, packed
+from pulleydeal.store.facts import Fact, split_into_values
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import JournalValue, Replica
 
@@ -29,7 +29,7 @@
         conditions = self.conditions | draft.conditions
         facts = [*self.facts, *draft.facts]
         size_b = self.size_b + sum(len(msgspec.json.encode(fact)) + 1 for fact in draft.facts)
-        values = len(packed(facts, self.limits.value_b))
+        values = len(split_into_values(facts, self.limits.value_b))
         if size_b > c.JOURNAL_APPEND_B or values > self.limits.ops:
             return False
         if len(conditions) + values > self.limits.conditions:
@@ -40,7 +40,7 @@
     def values(self) -> list[list[Fact]]:
         """The packed values. There is at least one, possibly empty: writing it under the key of an
         append in doubt prevents that append from being applied later."""
-        return packed(self.facts, self.limits.value_b) or [[]]
+        return split_into_values(self.facts, self.limits.value_b) or [[]]
 
 
 def is_eligible(spec: r.JobSpec) -> bool:
@@ -77,7 +77,7 @@
     if job.record.spec is None:
         return False
     state = job.task(fact.index)
-    if replica.is_combined(fact.job, fact.index):
+    if replica.is_merged(fact.job, fact.index):
         return state.attempt == fact.task.attempt
     return state == fact.task
 
@@ -134,7 +134,7 @@
         : c.JOURNAL_RESTATED
     ]
     facts = [fact for value_id in oldest for fact in live[value_id]]
-    rewritten_count = len(packed(facts, limits.value_b))
+    rewritten_count = len(split_into_values(facts, limits.value_b))
     if rewritten_count >= len(oldest) or rewritten_count + len(oldest) > limits.ops:
         return None
     return Compaction({value_id: journals[value_id].version for value_id in oldest}, facts)
@@ -142,6 +142,6 @@
 
 def compaction_conditions(compaction: Compaction, view_version: int) -> dict[str, int]:
     conditions = {
-        f"{r.JOURNAL}{value_id}": version for value_id, version in compaction.deletes.items()
+        f"{r.JOURNAL_PREFIX}{value_id}": version for value_id, version in compaction.deletes.items()
     }
-    return conditions | {r.VIEW: view_version}
+    return conditions | {r.VIEW_KEY: view_version}
--- a/pulleydeal/journal/service.py
+++ b/pulleydeal/journal/service.py
@@ -5,17 +5,17 @@
 from dataclasses import dataclass
 
 from pulleydeal import constants as c
-from pulleydeal.background import take_failure
+from pulleydeal.background import retrieve_exception
 from pulleydeal.journal import decide
 from pulleydeal.journal.metrics import JournalMetrics
 from pulleydeal.membership.service import Membership
 from pulleydeal.store import records as r
-from pulleydeal.store.client import LeaseLost, Refused, Unavailable, Unknown
+from pulleydeal.store.client import LeaseLost, OutcomeUnknown, RequestRejected, Unavailable
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import packed
+from pulleydeal.store.facts import split_into_values
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.service import Backoff, MakeDraft, Store
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.service import Backoff, DraftFactory, Store
 
 log = logging.getLogger("pulleydeal.journal")
 FEATURE = "journal"
@@ -26,8 +26,8 @@
 class PendingAppend:
     """A job waiting for an append; its draft is made only when the append is built."""
 
-    make_draft: MakeDraft
-    turn: Turn
+    make_draft: DraftFactory
+    priority: WritePriority
     result: asyncio.Future[bool]
     conflicts: int = 0
 
@@ -58,35 +58,35 @@
     def writer(self) -> str:
         return f"{self._membership.me}.{self._membership.incarnation}"
 
-    def takes(self, spec: r.JobSpec) -> bool:
+    def accepts(self, spec: r.JobSpec) -> bool:
         return (
             self.enabled
             and decide.is_eligible(spec)
-            and self._membership.all_serve(FEATURE, FORMAT)
+            and self._membership.all_enable(FEATURE, FORMAT)
         )
 
     # --- appending ----------------------------------------------------------------------------
-    async def append(self, job: str, make: MakeDraft, turn: Turn) -> bool:
+    async def append(self, job: str, make: DraftFactory, priority: WritePriority) -> bool:
         result: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         while job in self._queue:  # a job's urgent changes are written concurrently with its others
             await asyncio.wait([self._queue[job].result])
-        self._queue[job] = PendingAppend(make, turn, result)
+        self._queue[job] = PendingAppend(make, priority, result)
         if self._append_task is None or self._append_task.done():
             self._append_task = asyncio.ensure_future(self._drain_queue())
-            self._append_task.add_done_callback(take_failure)
+            self._append_task.add_done_callback(retrieve_exception)
         return await result
 
     async def _drain_queue(self) -> None:
         while self._queue or self._in_doubt:
-            turn = min((w.turn for w in self._queue.values()), default=Turn.WORK)
-            await self._store.client.may_write(turn)
+            priority = min((w.priority for w in self._queue.values()), default=WritePriority.NORMAL)
+            await self._store.client.wait_for_write_slot(priority)
             try:
                 await self._append_once()
                 self._backoff.reset()
             except (Unavailable, TimeoutError, LeaseLost) as error:
                 log.debug("journal append failed: %s", error)
                 await self._backoff.pause()
-            except Unknown as error:
+            except OutcomeUnknown as error:
                 # It may be applied now or later, but only under these keys; the next append uses
                 # the same first key, so at most one of the two is ever applied.
                 log.debug("journal append got no answer: %s", error)
@@ -97,7 +97,7 @@
                 await self._backoff.pause()
 
     async def _append_once(self) -> None:
-        batch = decide.Batch(self._store.limits, {r.VIEW: self._replica.view_version})
+        batch = decide.Batch(self._store.limits, {r.VIEW_KEY: self._replica.view_version})
         included = self._collect(batch)
         if not batch.facts and not self._in_doubt:
             self._finish(included)
@@ -108,11 +108,11 @@
         conditions = batch.conditions | dict.fromkeys(keys, 0)
         puts: dict[str, object] = dict(zip(keys, values, strict=True))
         try:
-            written = await self._store.commit(conditions, puts, turn=None)
-        except Unknown:
-            self._in_doubt_views.setdefault(self._next_sequence, set()).add(conditions[r.VIEW])
+            written = await self._store.commit(conditions, puts, priority=None)
+        except OutcomeUnknown:
+            self._in_doubt_views.setdefault(self._next_sequence, set()).add(conditions[r.VIEW_KEY])
             raise
-        except (TooLarge, Refused) as error:
+        except (TooLarge, RequestRejected) as error:
             log.error("journal append rejected: %s", error)
             if not self._in_doubt:
                 self._fail(included)
@@ -129,7 +129,7 @@
     def _collect(self, batch: decide.Batch) -> list[str]:
         """Makes drafts in order of turn until the transaction is full; returns the jobs covered."""
         included = []
-        for job, pending in sorted(self._queue.items(), key=lambda item: item[1].turn):
+        for job, pending in sorted(self._queue.items(), key=lambda item: item[1].priority):
             draft = self._make_draft(job, pending)
             if draft is None:
                 self._resolve(job, written=False)
@@ -163,7 +163,7 @@
     async def _read_back(self) -> None:
         while True:
             try:
-                await self._store.fresh()
+                await self._store.ensure_fresh()
                 break
             except Unavailable:
                 await self._backoff.pause()
@@ -210,15 +210,15 @@
             await self._commit_compaction(compaction)
 
     async def _commit_compaction(self, compaction: decide.Compaction) -> None:
-        deletes = [f"{r.JOURNAL}{value_id}" for value_id in compaction.deletes]
+        deletes = [f"{r.JOURNAL_PREFIX}{value_id}" for value_id in compaction.deletes]
         conditions = decide.compaction_conditions(compaction, self._replica.view_version)
-        values = packed(compaction.rewritten, self._store.limits.value_b)
+        values = split_into_values(compaction.rewritten, self._store.limits.value_b)
         puts: dict[str, object] = {}
         for value in values:
             key = self._rewritten_key()
             conditions[key] = 0
             puts[key] = value
-        if await self._store.commit(conditions, puts, deletes, turn=Turn.LATER):
+        if await self._store.commit(conditions, puts, deletes, priority=WritePriority.BACKGROUND):
             log.debug("journal compaction: deleted %d values, wrote %d", len(deletes), len(values))
 
     def _rewritten_key(self) -> str:
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -14,8 +14,8 @@
 from pulleydeal.http import Request, Response, Server, answer
 from pulleydeal.operators import constants as oc
 from pulleydeal.store.job import Job
-from pulleydeal.store.reasons import shown
-from pulleydeal.submissions.messages import described
+from pulleydeal.store.reasons import reason_text
+from pulleydeal.submissions.messages import as_submission
 
 log = logging.getLogger("pulleydeal.operators")
 STATES = ("open", "done", "cancelled", "all")
@@ -107,8 +107,8 @@
             "revision": self._replica.revision,
             "features": self._enabled,
             "shown": {
-                node: {"format": format_, "features": self._replica.shown.get(node, {})}
-                for node, format_ in sorted(self._replica.software.items())
+                node: {"format": format_, "features": self._replica.node_features.get(node, {})}
+                for node, format_ in sorted(self._replica.node_formats.items())
             },
         }
 
@@ -129,7 +129,7 @@
             {"task": index, "machine": task.machine, "attempt": task.attempt}
             for index, task in sorted(job.bindings())[: fc.MAX_PAGE_SIZE]
         ]
-        last = {"last_stop": shown(job.last_stop)} if job.last_stop else {}
+        last = {"last_stop": reason_text(job.last_stop_reason)} if job.last_stop_reason else {}
         return _summary(job) | {"bound": tasks} | last
 
     async def _description(self, asked: Asked) -> Any:
@@ -137,7 +137,7 @@
         job = self._replica.jobs.get(asked.params["job"])
         if job is None or job.spec is None:
             raise Problem(404, "no_such_job", f"no open job {asked.params['job']!r} is known here")
-        return described(job.spec)
+        return as_submission(job.spec)
 
     async def _machines(self, asked: Asked) -> Any:
         self._require_replica()
@@ -145,7 +145,7 @@
 
     def _machine(self, name: str) -> dict[str, Any]:
         record = self._replica.machines[name].record
-        bound = self._replica.bound.get(name, {})
+        bound = self._replica.tasks_by_machine.get(name, {})
         return {
             "machine": name,
             "state": record.state,
--- a/pulleydeal/store/reasons.py
+++ b/pulleydeal/store/reasons.py
@@ -1,15 +1,15 @@
-"""Why a task ended or is to stop: a short code where it is stored, a sentence where it is shown.
+"""Reasons why a task ended or is to stop: short codes in stored records, sentences when shown.
 
-Production stored the sentences themselves, up to 48 characters each, which made a full chunk of
-tasks larger than the state service will take. Its records stay readable: what is no code is
-shown as it stands, and becomes a code when the record is next written. Production shows the
-codes as they are, which is all that it does with them.
+The version in production stored the sentences, up to 48 characters each, which made a full chunk
+of tasks exceed the state service's value limit. Its records remain readable: a reason that is not
+a code is shown as it is, and replaced by a code when the record is next written. That version
+shows codes as they are and uses them for nothing else.
 """
 
 from pulleydeal.store.records import PRIORITIES
 
 MADE_ROOM = "made room for"
-RETURNED = "its machine is not needed any more and goes back"
+MACHINE_RETURNED = "its machine is not needed any more and goes back"
 _TEXTS = {
     "n": "the cloud takes its spot machine back",
     "g": "its machine is gone",
@@ -27,7 +27,7 @@
     "x": "unknown",
     "s": "stopped",
     "i": "lost",
-    "r": RETURNED,
+    "r": MACHINE_RETURNED,
     "m": f"{MADE_ROOM} other work",
     "o": "another reason; the log has it",
 } | {f"m{i}": f"{MADE_ROOM} work of {name} priority" for i, name in enumerate(PRIORITIES)}
@@ -35,22 +35,23 @@
 CODES = frozenset(_TEXTS)
 
 
-def short(reason: str) -> str:
-    """The code that is stored for a reason, be it a sentence or a code already."""
+def reason_code(reason: str) -> str:
+    """The code to store for a reason, which may be a sentence or already a code."""
     if not reason or reason in _TEXTS:
         return reason
     if reason in _CODES:
         return _CODES[reason]
     if reason.startswith(MADE_ROOM):
-        named = [i for i, name in enumerate(PRIORITIES) if f"({name}" in reason]
-        return f"m{named[0]}" if named else "m"
+        priorities = [i for i, name in enumerate(PRIORITIES) if f"({name}" in reason]
+        return f"m{priorities[0]}" if priorities else "m"
     return "o"
 
 
-def made_room(priority: int) -> str:
-    """Stopped for work of that priority; the log names the job."""
+def preemption_reason(priority: int) -> str:
+    """The reason for stopping a task to make room for work of this priority."""
     return _TEXTS[f"m{priority}"]
 
 
-def shown(stored: str) -> str:
+def reason_text(stored: str) -> str:
+    """The sentence for a stored reason."""
     return _TEXTS.get(stored, stored)
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -1,4 +1,4 @@
-"""Machines that should go: silent and sick ones are marked, those with a notice are drained."""
+"""Removal of owned machines that are silent, sick, idle or about to be reclaimed."""
 
 import asyncio
 import logging
@@ -12,100 +12,103 @@
 from pulleydeal.membership.service import Membership
 from pulleydeal.settings import WorkerTimes
 from pulleydeal.store import records as r
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.reasons import RETURNED
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.reasons import MACHINE_RETURNED
 from pulleydeal.store.service import Store
 from pulleydeal.workers.changes import apply_stop
-from pulleydeal.workers.commanding import Commanding
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.commander import Commander
+from pulleydeal.workers.partition_policy import PartitionPolicy
 from pulleydeal.workers.reachability import (
-    one_way_for_long,
-    out_of_sight,
-    silent_for_long,
+    one_way_too_long,
     silent_s,
+    silent_too_long,
+    unreachable_zones,
 )
-from pulleydeal.workers.station import Blame, Station, is_sick
+from pulleydeal.workers.tracked_machine import FailureCause, TrackedMachine, is_sick
 
 log = logging.getLogger("pulleydeal.workers")
-IDLE = "idle"  # why a machine goes that nothing needs
+IDLE = "idle"  # drain reason of a machine that no work needs
 
 
 class Eviction:
+    """Marks silent and sick machines for drain, and stops tasks on machines that are to go."""
+
     def __init__(
         self,
         membership: Membership,
         store: Store,
         times: WorkerTimes,
         clock: Clock,
-        stations: dict[str, Station],
-        commanding: Commanding,
-        keeping: Keeping,
-        aimed: set[str],
+        machines: dict[str, TrackedMachine],
+        commander: Commander,
+        partition_policy: PartitionPolicy,
+        objective_classes: set[str],
     ) -> None:
-        self._aimed = aimed  # classes for which somebody has said by when
+        self._objective_classes = objective_classes  # job classes with a time objective
         self._membership = membership
         self._store = store
         self._replica = store.replica
         self._times = times
         self._clock = clock
-        self._stations = stations
-        self._commanding = commanding
-        self._keeping = keeping
-        self._unseen_at: dict[str, float] = {}  # zone -> when it was last out of sight
+        self._machines = machines
+        self._commander = commander
+        self._partition_policy = partition_policy
+        self._silent_zone_at: dict[str, float] = {}  # zone -> when it was last silent
 
-    def unseen_zones(self) -> set[str]:
-        """Zones that can't be seen at present."""
-        stations, others = list(self._stations.values()), self._keeping.others_see()
-        return out_of_sight(stations, self._clock.now(), self._times.report_s, others)
+    def unreachable_zones(self) -> set[str]:
+        """Zones that are currently unreachable, as seen by this node and its peers."""
+        machines, others = list(self._machines.values()), self._partition_policy.peer_observations()
+        return unreachable_zones(machines, self._clock.now(), self._times.report_s, others)
 
-    async def tend(self) -> None:
-        """One round: marks silent and sick machines, and drains those with a notice."""
+    async def run_round(self) -> None:
+        """One round: probes silent machines, marks those to drain, and stops tasks in time."""
         await asyncio.sleep(0.5)
         if not self._membership.is_member:
             return
         now = self._clock.now()
-        self._commanding.orders.drop_stale()
+        self._commander.orders.drop_stale()
         report_s = self._times.report_s
-        stations = list(self._stations.values())
+        machines = list(self._machines.values())
         silent = {
             s.id
-            for s in silent_for_long(
-                stations,
+            for s in silent_too_long(
+                machines,
                 now,
                 report_s,
                 self._times.lease_s,
-                self._unseen_at,
-                self._keeping.others_see(),
-                self._keeping.watched_over(),
+                self._silent_zone_at,
+                self._partition_policy.peer_observations(),
+                self._partition_policy.fleet_leader_decides(),
             )
         }
-        one_way = set(one_way_for_long(stations, now, report_s, self._times.lease_s))
-        for station in stations:
-            if self._stations.get(station.id) is not station:
-                continue  # given up while an earlier one was being written
-            quiet = silent_s(station, now) > c.PROBE_REPORTS * report_s
-            if quiet or station.unanswered_since is not None or station.is_misunderstood:
-                self._commanding.probe(station)
-            record = self._replica.machines.get(station.id)
+        one_way = set(one_way_too_long(machines, now, report_s, self._times.lease_s))
+        for tracked in machines:
+            if self._machines.get(tracked.id) is not tracked:
+                continue  # given up while the record of another machine was written
+            quiet = silent_s(tracked, now) > c.PROBE_REPORTS * report_s
+            if quiet or tracked.unanswered_since is not None or tracked.last_answer_invalid:
+                self._commander.probe(tracked)
+            record = self._replica.machines.get(tracked.id)
             if record is not None and record.record.why == IDLE:
-                self._clear_out(station)
+                self._stop_idle_work(tracked)
             if record is None or record.record.state != "up":
                 continue
-            # Asked again: it may have been heard while another's record was written.
-            if station.id in silent and silent_s(station, now) > c.PROBE_REPORTS * report_s:
-                await self.mark(station.id, "silent")
-            elif station.id in one_way and (station.unanswered_since or station.mute_since):
-                log.info("machine %s reports or hears, but not both", station.id)
-                await self.mark(station.id, "silent")
-            elif is_sick(station, now, self._blame):
-                await self.mark(station.id, "sick")
-            elif station.notice_at is not None:
-                self._drain_for_notice(station, now)
+            # Checked again: a report may have arrived while another record was written.
+            if tracked.id in silent and silent_s(tracked, now) > c.PROBE_REPORTS * report_s:
+                await self.mark_for_drain(tracked.id, "silent")
+            elif tracked.id in one_way and (tracked.unanswered_since or tracked.no_checkin_since):
+                log.info("machine %s is reachable in one direction only", tracked.id)
+                await self.mark_for_drain(tracked.id, "silent")
+            elif is_sick(tracked, now, self._failure_cause):
+                await self.mark_for_drain(tracked.id, "sick")
+            elif tracked.notice_at is not None:
+                self._drain_for_notice(tracked, now)
 
-    def _blame(self, job_id: str, here: int) -> Blame:
-        """Who is to blame for a job's failures on one machine, by what it did on others.
+    def _failure_cause(self, job_id: str, here: int) -> FailureCause:
+        """Whether a job's `here` failures on one machine are due to the job or to the machine.
 
-        One that was cancelled meanwhile says nothing of the machine.
+        A job that succeeded is sound, and one that failed elsewhere too is faulty. A cancelled job
+        is no evidence against the machine.
         """
         job = self._replica.jobs.get(job_id)
         if job is None or job.is_cancelled:
@@ -114,36 +117,44 @@
             return "machine"
         return "job" if job.fails > here else "open"
 
-    async def mark(self, machine: str, why: str) -> None:
+    async def mark_for_drain(self, machine: str, why: str) -> None:
+        """Writes durably that a machine is to be drained."""
         old = self._replica.machines[machine]
         record = msgspec.structs.replace(old.record, state="drain", why=why, at=self._clock.wall())
         key = r.machine_key(machine)
-        conditions = {key: old.version, r.VIEW: self._replica.view_version}
+        conditions = {key: old.version, r.VIEW_KEY: self._replica.view_version}
         if await self._store.commit(conditions, {key: record}):
-            log.info("machine %s is to go: %s", machine, why, extra={"machine": machine})
+            log.info("machine %s marked for drain: %s", machine, why, extra={"machine": machine})
 
-    def _drain_for_notice(self, station: Station, now: float) -> None:
-        assert station.notice_at is not None
-        for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
+    def _drain_for_notice(self, tracked: TrackedMachine, now: float) -> None:
+        """Stops tasks as late as possible before the cloud reclaims the spot machine."""
+        assert tracked.notice_at is not None
+        for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if spec is None or task.stop:
                 continue
             if spec.checkpoint_s > 0:
-                last = station.notice_at - spec.save_s - c.STOP_SLACK_S
+                last = tracked.notice_at - spec.save_s - c.STOP_SLACK_S
             else:
-                last = station.notice_at - c.STOP_SLACK_S / 2
+                last = tracked.notice_at - c.STOP_SLACK_S / 2
             if now >= last:
                 self.stop(job_id, index, task.attempt, "the cloud takes its spot machine back")
 
-    def _clear_out(self, station: Station) -> None:
-        """Idle-time work alone does not keep an ordinary machine that is to go."""
-        for (job_id, index), task in self._replica.bound.get(station.id, {}).items():
+    def _stop_idle_work(self, tracked: TrackedMachine) -> None:
+        """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
+        for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
-            if spec is not None and not task.stop and rules.idle_time(spec, self._aimed):
-                self.stop(job_id, index, task.attempt, RETURNED)
+            if (
+                spec is not None
+                and not task.stop
+                and rules.is_idle_time_work(spec, self._objective_classes)
+            ):
+                self.stop(job_id, index, task.attempt, MACHINE_RETURNED)
 
     def stop(self, job_id: str, index: int, attempt: int, why: str) -> None:
-        """Stops a task in good order, and with it its gang; the reason is durable."""
+        """Requests an orderly stop of a task and its gang; the reason is stored."""
         self._store.change_job(
-            job_id, partial(apply_stop, index=index, attempt=attempt, why=why), turn=Turn.WORK
+            job_id,
+            partial(apply_stop, index=index, attempt=attempt, why=why),
+            priority=WritePriority.NORMAL,
         )
--- a/pulleydeal/workers/task_log.py
+++ b/pulleydeal/workers/task_log.py
@@ -1,21 +1,21 @@
-"""Log lines of what machines report of their tasks; decisions: pulleydeal/decisions.py."""
+"""Logs the task states that machines report. Decisions are logged by pulleydeal/decisions.py."""
 
 import logging
 
-from pulleydeal.workers.station import Entry, Station, TaskId
+from pulleydeal.workers.tracked_machine import TaskId, TaskStatus, TrackedMachine
 
 log = logging.getLogger("pulleydeal.workers")
 
 
-def progress(station: Station, before: dict[TaskId, Entry]) -> None:
-    for task_id, entry in station.entries.items():
+def log_progress(tracked: TrackedMachine, before: dict[TaskId, TaskStatus]) -> None:
+    for task_id, entry in tracked.tasks.items():
         old = before.get(task_id)
         if entry.state != "exited" and (old is None or old.state != entry.state):
             log.info(
                 "task %s/%d attempt %d on %s: %s",
                 *task_id,
                 entry.attempt,
-                station.id,
+                tracked.id,
                 entry.state,
-                extra={"job": task_id[0], "task": task_id[1], "machine": station.id},
+                extra={"job": task_id[0], "task": task_id[1], "machine": tracked.id},
             )
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,15 +16,15 @@
 from pulleydeal.journal.service import Journal
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
+from pulleydeal.store.client import OutcomeUnknown
 from pulleydeal.store.draft import Draft
-from pulleydeal.store.facts import FACTS, Fact, joined, packed
+from pulleydeal.store.facts import FACTS, Fact, merge_tasks, split_into_values
 from pulleydeal.store.limits import Limits
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff
 from pulleydeal.workers.changes import apply_exit, apply_stop
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 from tests import production
 from tests.model import journal as model
 
@@ -50,18 +50,20 @@
 def test_facts_combine_in_any_order_and_any_number_of_times() -> None:
     """Exhaustive over pairs and triples of states: the merge must be commutative, associative and
     idempotent, or replicas that read facts in different orders would diverge."""
-    states = [joined(r.Task(), state) for state in STATES]
+    states = [merge_tasks(r.Task(), state) for state in STATES]
     for one, other in itertools.product(states, repeat=2):
-        both = joined(one, other)
-        assert both == joined(other, one)
-        assert joined(both, one) == both == joined(both, other)
+        both = merge_tasks(one, other)
+        assert both == merge_tasks(other, one)
+        assert merge_tasks(both, one) == both == merge_tasks(both, other)
     for one, two, three in itertools.product(states, repeat=3):
-        assert joined(joined(one, two), three) == joined(one, joined(two, three))
+        assert merge_tasks(merge_tasks(one, two), three) == merge_tasks(
+            one, merge_tasks(two, three)
+        )
 
 
 def test_ended_and_done_are_final_within_an_attempt() -> None:
     for one, other in itertools.product(STATES, repeat=2):
-        both = joined(one, other)
+        both = merge_tasks(one, other)
         same = [task for task in (one, other) if task.attempt == both.attempt]
         assert both.attempt == max(one.attempt, other.attempt)
         assert both.done == any(task.done for task in same)
@@ -107,7 +109,7 @@
         facts = make_draft(replica, change).facts
         assert facts
         for fact in facts:
-            assert joined(bound, fact.task) == fact.task != bound
+            assert merge_tasks(bound, fact.task) == fact.task != bound
 
 
 def test_a_done_gang_member_stays_done_whichever_owner_writes_its_end() -> None:
@@ -132,7 +134,7 @@
     replica.end_load(5)
     put(replica, 6, {r.job_key("j-1"): r.JobRecord("journal-open", 40, 1.0, SPEC)})
     assert replica.jobs["j-1"].task(3) == r.Task("vm-1", 1)
-    assert replica.bound == {"vm-1": {("j-1", 3): r.Task("vm-1", 1)}}
+    assert replica.tasks_by_machine == {"vm-1": {("j-1", 3): r.Task("vm-1", 1)}}
     assert replica.usage() == {"t": (1.0, 1.0)}
 
 
@@ -140,7 +142,7 @@
     replica = replica_with_job(r.Task("", 1, True))
     put(replica, 3, {r.job_key("j-1"): r.JobRecord("done", 1, 1.0)})
     put(replica, 4, {"p/l/n.2/00000000": [Fact("j-1", 0, r.Task("vm-1", 1))]})
-    assert not replica.bound and not replica.jobs["j-1"].bound
+    assert not replica.tasks_by_machine and not replica.jobs["j-1"].bound
 
 
 def test_replicas_converge_whatever_order_they_read_values_in() -> None:
@@ -155,7 +157,7 @@
         tasks = [replica.jobs["j-1"].task(i) for i in range(40)]
         seen.add(msgspec.json.encode(tasks))
         on = Counter(t.machine for t in tasks if t.machine)
-        assert {machine: len(b) for machine, b in replica.bound.items()} == dict(on)
+        assert {machine: len(b) for machine, b in replica.tasks_by_machine.items()} == dict(on)
     assert len(seen) == 1
 
 
@@ -205,7 +207,7 @@
         for value_id in compaction.deletes:
             replica.apply(m.Changes(5000, [m.Event(5000, None, f"p/l/{value_id}")]))
     assert compaction is not None and len(compaction.deletes) == c.JOURNAL_RESTATED
-    assert len(packed(compaction.rewritten, LIMITS.value_b)) == 1
+    assert len(split_into_values(compaction.rewritten, LIMITS.value_b)) == 1
     put(replica, 6000, {r.job_key("j-1"): r.JobRecord("done", 40, 1.0)})
     over = decide.plan_compaction(replica.journals, is_responsible, replica, LIMITS)
     assert over is not None and not over.rewritten
@@ -230,18 +232,18 @@
 
 # --- one append ----------------------------------------------------------------------------------
 def test_an_append_is_filled_up_to_the_limits() -> None:
-    batch = decide.Batch(LIMITS, {r.VIEW: 1})
+    batch = decide.Batch(LIMITS, {r.VIEW_KEY: 1})
     jobs = 0
     while True:
         replica = replica_with_job(*[r.Task("vm-1", 1)] * 4)
         draft = make_draft(replica, ended("lost", jobs % 4))
-        draft.conditions = {f"p/j/j-{jobs}": 1, r.VIEW: 1}
+        draft.conditions = {f"p/j/j-{jobs}": 1, r.VIEW_KEY: 1}
         if not batch.add(draft):
             break
         jobs += 1
     assert jobs == LIMITS.conditions - 2  # the view, each job, and the value's own key
     assert len(batch.values()) == 1 and len(batch.facts) == jobs
-    small = decide.Batch(Limits(2 * 1024, 4), {r.VIEW: 1})
+    small = decide.Batch(Limits(2 * 1024, 4), {r.VIEW_KEY: 1})
     large = replica_with_job(*[r.Task("vm-1", 1)] * 384)
     many = make_draft(large, lambda draft: [ended("lost", i)(draft) for i in range(384)] and None)
     assert len(many.facts) == 384 and not small.add(many) and not small.facts
@@ -249,7 +251,7 @@
 
 def test_values_are_filled_in_order() -> None:
     facts = [Fact(f"j-{i}", i, r.Task("vm-000001", i)) for i in range(500)]
-    values = packed(facts, LIMITS.value_b)
+    values = split_into_values(facts, LIMITS.value_b)
     assert [fact for value in values for fact in value] == facts
     sizes = [len(msgspec.json.encode(value)) for value in values]
     assert max(sizes) <= LIMITS.value_b and min(sizes[:-1]) > 0.98 * LIMITS.value_b
@@ -271,10 +273,10 @@
         self.journal = Journal(self, self, Backoff(random.Random(1)))  # type: ignore[arg-type]
         self.journal._next_sequence = 1
 
-    async def may_write(self, _: Turn) -> None:
+    async def wait_for_write_slot(self, _: WritePriority) -> None:
         return
 
-    async def fresh(self) -> None:
+    async def ensure_fresh(self) -> None:
         return
 
     def apply(
@@ -300,10 +302,10 @@
         outcome = self.outcomes.pop(0) if self.outcomes else "answered"
         if outcome == "late":
             self.delayed.append((conditions, puts))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         done = self.apply(conditions, puts, drops)
         if outcome == "unanswered":
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         return done
 
     def leads(self, _: str) -> bool:
@@ -315,7 +317,7 @@
 
         async def run() -> bool:
             async with asyncio.timeout(5.0):
-                return await self.journal.append("j-1", make, Turn.WORK)
+                return await self.journal.append("j-1", make, WritePriority.NORMAL)
 
         return asyncio.run(run())
 
@@ -369,8 +371,8 @@
         asyncio.run(node.journal.compact())
     assert [node.apply(*delayed) for delayed in node.delayed] == [False]
     assert len(journal_keys(node)) == 2
-    put(node.replica, 50, {r.VIEW: r.View(2, {"n": "1"})})
-    node.keys[r.VIEW] = 50  # made under the previous view, it can no longer be applied
+    put(node.replica, 50, {r.VIEW_KEY: r.View(2, {"n": "1"})})
+    node.keys[r.VIEW_KEY] = 50  # made under the previous view, it can no longer be applied
     asyncio.run(node.journal.compact())
     assert len(journal_keys(node)) == 1
     assert [node.apply(*delayed) for delayed in node.delayed] == [False]
@@ -385,7 +387,7 @@
 def test_an_append_made_under_an_older_view_is_not_written() -> None:
     """Its writer may no longer lead the job or own the machine."""
     node = SingleNode(r.Task("vm-1", 1))
-    node.keys[r.VIEW] = 9  # changed; the replica does not show it yet
+    node.keys[r.VIEW_KEY] = 9  # changed; the replica does not show it yet
     assert not node.append(ended("lost")) and len(journal_keys(node)) == 1
 
 
@@ -408,7 +410,7 @@
     """Otherwise it would take the tasks for never started. A node that cannot load the state does
     not become a member."""
     for status in ("open", "cancelled", "done"):
-        written = r.written(status, True)  # type: ignore[arg-type]
+        written = r.stored_status(status, True)  # type: ignore[arg-type]
         encoded = msgspec.json.encode(r.JobRecord(written, 1, 1.0, SPEC))
         with pytest.raises(msgspec.ValidationError):
             msgspec.json.decode(encoded, type=production.JobRecord)
