--- a/experiments/cron.py
+++ b/experiments/cron.py
@@ -10,7 +10,7 @@
 from experiments.overload import Users
 from experiments.processes import cpu_s, memory_mb
 from experiments.report import Plot, Report
-from pulleydeal.operators.client import ask
+from pulleydeal.operators.client import send_request
 from pulleydeal.recurring import constants as kc
 from standins.town import Town
 
@@ -44,9 +44,11 @@
     began = loop.time()
     for at in range(0, len(text), kc.UPLOAD_B):
         piece = text[at : at + kc.UPLOAD_B]
-        await asyncio.to_thread(ask, address, "POST", f"/v1/cron/uploads/big?at={at}", piece)
+        await asyncio.to_thread(
+            send_request, address, "POST", f"/v1/cron/uploads/big?at={at}", piece
+        )
     path = "/v1/cron/tables/big"
-    await asyncio.to_thread(ask, address, "POST", path, MAPPING.encode(), 600.0)
+    await asyncio.to_thread(send_request, address, "POST", path, MAPPING.encode(), 600.0)
     return loop.time() - began
 
 
--- a/experiments/memory.py
+++ b/experiments/memory.py
@@ -11,7 +11,7 @@
 from experiments.scale_plan import Size as ScaleSize
 from experiments.scale_plan import held_jobs, spec_of
 from pulleydeal import constants as c
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
@@ -84,7 +84,7 @@
 
 async def _idle_connections() -> float:
     async def handle(_: Request) -> Response:
-        return answer(200, {})
+        return json_response(200, {})
 
     server = Server(handle, 10 * CONNECTIONS)
     port = free_port()
--- a/experiments/overload.py
+++ b/experiments/overload.py
@@ -9,7 +9,7 @@
 from experiments.load import Result, play
 from experiments.report import Plot, Report
 from pulleydeal import constants as c
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.town import Town, job
 
 ABOUT = "submissions at 0.5 to 4 times the write rate, three nodes, open loop, no retries"
@@ -32,7 +32,7 @@
         body: Any = job(f"j-{self.first + number}", accelerators=4.0, lifts=1, haul="gang")
         try:
             status, _ = await client.request("POST", "/submissions", body, PATIENCE_S)
-        except NoAnswer:
+        except NoResponse:
             return "none"
         return str(status)
 
--- a/experiments/profile.py
+++ b/experiments/profile.py
@@ -51,7 +51,7 @@
 KNOWN = {
     "Server._connection (pulleydeal/http.py)": REQUEST,
     "Server._respond (pulleydeal/http.py)": REQUEST,
-    "Server._next (pulleydeal/http.py)": REQUEST,
+    "Server._next_request (pulleydeal/http.py)": REQUEST,
     "App.handle (pulleydeal/app.py)": REQUEST,
     "_read_request (pulleydeal/http.py)": REQUEST,
     "_send (pulleydeal/http.py)": REQUEST,
--- a/experiments/scale_run.py
+++ b/experiments/scale_run.py
@@ -12,7 +12,7 @@
 from experiments.load import histogram, note, quantile_ms
 from experiments.scale_cell import MEMORY_SHARE_MOST, PROCESSES_MOST, Cell, machine_memory_mb
 from experiments.scale_plan import Size, arriving_jobs
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins import hub_messages as m
 
 SUBMIT_S, POLL_S = 5.0, 2.0  # PROTOCOL: how long users wait for an answer
@@ -89,7 +89,7 @@
         began = self.cell.now()
         try:
             status, reply = await client.request(method, path, body, wait_s)
-        except NoAnswer:
+        except NoResponse:
             status, reply = 0, b""
         if self.counting:
             self.words[f"{method} {status or 'none'}"] += 1
--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -8,13 +8,13 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
 from pulleydeal.credits.service import Credits
-from pulleydeal.features.context import FeatureContext, Service, Step
+from pulleydeal.features.context import FeatureContext, NodeContext, Step
 from pulleydeal.features.settings import Features
 from pulleydeal.features.switch import create_features, create_partition_policy
 from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.journal.service import Journal
 from pulleydeal.lateness import LoopLag, Precedence
 from pulleydeal.membership.service import Membership
@@ -135,11 +135,11 @@
         self.server = Server(
             self.handle,
             sockets,
-            crowd="/submissions",
-            crowd_at_once=self.lateness.max_user_requests,
+            throttled_prefix="/submissions",
+            max_throttled=self.lateness.max_user_requests,
         )
 
-        service = Service(
+        service = NodeContext(
             self.membership,
             self.siblings,
             self.store,
@@ -163,20 +163,20 @@
         path = request.path.partition("?")[0]
         if path == "/checkin":
             if request.method != "POST":
-                return answer(405, {"error": "only POST"})
+                return json_response(405, {"error": "only POST"})
             return await self.workers.checkin(request)
         if path == "/submissions" or path.startswith("/submissions/"):
             return await self.submissions.handle(request)
         if (handler := self._paths.get(path.split("/")[1])) is not None:
             return await handler(request)
         if request.method != "GET":
-            return answer(404 if path not in ("/up", "/metrics") else 405, {"error": path})
+            return json_response(404 if path not in ("/up", "/metrics") else 405, {"error": path})
         if path == "/up":
             ready = self.submissions.ready
-            return answer(200 if ready else 503, {"ready": ready})
+            return json_response(200 if ready else 503, {"ready": ready})
         if path == "/metrics":
             return Response(200, self._metrics_text(), content_type="text/plain; version=0.0.4")
-        return answer(404, {"error": "no such path"})
+        return json_response(404, {"error": "no such path"})
 
     def _metrics_text(self) -> bytes:
         self.metrics.epoch.set(self.membership.epoch)
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -396,4 +396,4 @@
         if old != self._published:
             self._membership.send_heartbeat()  # the heartbeat carries the changed totals
         self._metrics.credits.set(len(self._queue.credits))
-        self._metrics.asks.set(len(self._waiting))
+        self._metrics.waiting_credit_requests.set(len(self._waiting))
--- a/pulleydeal/features/context.py
+++ b/pulleydeal/features/context.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Service(FeatureContext):
+class NodeContext(FeatureContext):
     """All services of the node that features may use."""
 
     teams: dict[str, Team]
--- a/pulleydeal/features/records.py
+++ b/pulleydeal/features/records.py
@@ -54,7 +54,7 @@
     def names(self, prefix: str = "") -> Iterator[str]:
         return (name for name in self._records if name.startswith(prefix))
 
-    def mark(self, name: str) -> int:
+    def version(self, name: str) -> int:
         """The record's version, for use as a commit condition; 0 if the record does not exist."""
         record = self._records.get(name)
         return record[1] if record else 0
--- a/pulleydeal/features/routes.py
+++ b/pulleydeal/features/routes.py
@@ -7,10 +7,10 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from pulleydeal.features import constants as fc
-from pulleydeal.http import Response, answer
+from pulleydeal.http import Response, json_response
 
 
-class Problem(Exception):
+class ApiError(Exception):
     """An error response: HTTP status, machine-readable code and human-readable message."""
 
     def __init__(
@@ -22,11 +22,11 @@
 
     def answer(self, request_id: str) -> Response:
         error = {"code": self.code, "message": self.message, "request": request_id}
-        return answer(self.status, {"error": error}, self.retry_after)
+        return json_response(self.status, {"error": error}, self.retry_after)
 
 
 @dataclass(slots=True)
-class Asked:
+class RoutedRequest:
     """A request matched to a route."""
 
     params: dict[str, str]  # from the path
@@ -34,23 +34,23 @@
     body: bytes
     id: str  # request id, for the logs
 
-    def count(self, name: str, default: int, most: int) -> int:
-        """An integer query parameter from 1 to `most`. Raises Problem 400 for anything else."""
+    def int_param(self, name: str, default: int, most: int) -> int:
+        """An integer query parameter from 1 to `most`. Raises ApiError 400 for anything else."""
         raw = self.query.get(name)
         if raw is None:
             return default
         if not raw.isascii() or not raw.isdigit() or not 1 <= int(raw[:9]) <= most:
-            raise Problem(400, "bad_query", f"{name} must be a whole number from 1 to {most}")
+            raise ApiError(400, "bad_query", f"{name} must be a whole number from 1 to {most}")
         return int(raw)
 
-    def choice(self, name: str, allowed: tuple[str, ...], default: str) -> str:
+    def choice_param(self, name: str, allowed: tuple[str, ...], default: str) -> str:
         value = self.query.get(name, default)
         if value not in allowed:
-            raise Problem(400, "bad_query", f"{name} must be one of {', '.join(allowed)}")
+            raise ApiError(400, "bad_query", f"{name} must be one of {', '.join(allowed)}")
         return value
 
 
-Handler = Callable[[Asked], Awaitable[Any]]  # the result is sent as JSON with status 200
+Handler = Callable[[RoutedRequest], Awaitable[Any]]  # the result is sent as JSON with status 200
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,11 +75,13 @@
 
 
 @dataclass(slots=True)
-class Table:
+class RouteTable:
     routes: list[Route] = field(default_factory=list)
 
-    def find(self, method: str, target: str, body: bytes, request_id: str) -> tuple[Route, Asked]:
-        """The matching route. Raises Problem 404, 405 or 400 if there is none."""
+    def find(
+        self, method: str, target: str, body: bytes, request_id: str
+    ) -> tuple[Route, RoutedRequest]:
+        """The matching route. Raises ApiError 404, 405 or 400 if there is none."""
         url = urlsplit(target)
         segments = url.path.strip("/").split("/")
         other_methods = []
@@ -94,20 +96,22 @@
             for name in query:
                 if name not in route.query:
                     known = ", ".join(route.query) or "nothing"
-                    raise Problem(400, "bad_query", f"no query {name!r} here; it takes {known}")
-            return route, Asked(params, query, body, request_id)
+                    raise ApiError(400, "bad_query", f"no query {name!r} here; it takes {known}")
+            return route, RoutedRequest(params, query, body, request_id)
         if other_methods:
-            raise Problem(405, "wrong_method", f"only {', '.join(sorted(set(other_methods)))}")
-        raise Problem(404, "no_such_path", f"nothing is served at {url.path}; GET /v1 lists all")
+            raise ApiError(405, "wrong_method", f"only {', '.join(sorted(set(other_methods)))}")
+        raise ApiError(404, "no_such_path", f"nothing is served at {url.path}; GET /v1 lists all")
 
 
-def page(asked: Asked, names: Iterable[str], shown: Callable[[str], Any]) -> dict[str, Any]:
+def paginate(
+    request: RoutedRequest, names: Iterable[str], shown: Callable[[str], Any]
+) -> dict[str, Any]:
     """One page of items in order of name, starting behind the query's `after`.
 
     `next` is the value of `after` for the following page, or None.
     """
-    limit = asked.count("limit", fc.DEFAULT_PAGE_SIZE, fc.MAX_PAGE_SIZE)
-    after = asked.query.get("after", "")
+    limit = request.int_param("limit", fc.DEFAULT_PAGE_SIZE, fc.MAX_PAGE_SIZE)
+    after = request.query.get("after", "")
     selected = heapq.nsmallest(limit + 1, (name for name in names if name > after))
     has_more = len(selected) > limit
     selected = selected[:limit]
--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -1,6 +1,6 @@
 """Builds the enabled features and imports no others."""
 
-from pulleydeal.features.context import Feature, FeatureContext, Service
+from pulleydeal.features.context import Feature, FeatureContext, NodeContext
 from pulleydeal.features.settings import Features
 from pulleydeal.workers.partition_policy import PartitionPolicy
 
@@ -18,7 +18,9 @@
     return zones, [zones]
 
 
-def create_features(features: Features, service: Service, created: list[Feature]) -> list[Feature]:
+def create_features(
+    features: Features, service: NodeContext, created: list[Feature]
+) -> list[Feature]:
     """All enabled features in start order, beginning with those already in `created`."""
     if features.journal is not None:
         from pulleydeal.journal.feature import JournalFeature
--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -8,7 +8,7 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
 from pulleydeal.fleet import messages as m
-from pulleydeal.http import MALFORMED, Client, NoAnswer
+from pulleydeal.http import DECODE_ERRORS, Client, NoResponse
 from pulleydeal.store.rate import TokenBucket
 from pulleydeal.store.records import MachineType
 
@@ -34,7 +34,7 @@
 def _decode(decoder: Decoder[T], reply: bytes) -> T:
     try:
         return decoder.decode(reply)
-    except MALFORMED as error:  # the call may have been executed
+    except DECODE_ERRORS as error:  # the call may have been executed
         raise CloudError(f"malformed answer from the cloud: {error}", True) from error
 
 
@@ -50,7 +50,7 @@
             await asyncio.sleep(pause)
         try:
             status, reply = await self._http.request(method, path, body, c.CLOUD_TIMEOUT_S)
-        except NoAnswer as error:
+        except NoResponse as error:
             raise CloudError(str(error), error.sent) from error
         if status == 503 and b"capacity" in reply:
             raise NoCapacity
--- a/pulleydeal/http.py
+++ b/pulleydeal/http.py
@@ -16,10 +16,10 @@
 log = logging.getLogger("pulleydeal.http")
 
 # Raised when a request or response body can't be decoded; deep nesting raises RecursionError.
-MALFORMED = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
-class NoAnswer(Exception):
+class NoResponse(Exception):
     """No complete response arrived. `sent` tells whether the request may have been executed."""
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -27,7 +27,7 @@
         self.sent = sent
 
 
-class Withdrawn(NoAnswer):
+class RequestWithdrawn(NoResponse):
     """The caller no longer wanted the request once a connection for it was available."""
 
     def __init__(self, reason: str) -> None:
@@ -51,10 +51,10 @@
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
     content_type: str = "application/json"
-    written: Callable[[], None] | None = None  # called right before the response is sent
+    on_send: Callable[[], None] | None = None  # called right before the response is sent
 
 
-def answer(status: int, body: object = None, retry_after: int | None = None) -> Response:
+def json_response(status: int, body: object = None, retry_after: int | None = None) -> Response:
     headers = [] if retry_after is None else [("Retry-After", str(retry_after))]
     return Response(status, msgspec.json.encode(body) if body is not None else b"{}", headers)
 
@@ -65,26 +65,26 @@
 class Server:
     """Serves one address with at most `limit` connections; further ones are answered 503.
 
-    Requests to paths below `crowd` are limited to a share of the connections and to a number of
-    concurrent requests, so that a flood of them does not lock out the other requests.
+    Requests to paths below `throttled_prefix` are limited to a share of the connections and to a
+    number of concurrent requests, so that a flood of them does not lock out the other requests.
     """
 
     def __init__(
         self,
         handler: Handler,
         limit: int,
-        crowd: str = "",
-        crowd_at_once: Callable[[], int] = lambda: c.USER_REQUESTS_AT_ONCE,
+        throttled_prefix: str = "",
+        max_throttled: Callable[[], int] = lambda: c.USER_REQUESTS_AT_ONCE,
     ) -> None:
-        """`crowd_at_once`: the current limit of concurrent requests below `crowd`."""
+        """`max_throttled`: the current limit of concurrent requests below `throttled_prefix`."""
         self._handler = handler
-        self._crowd_at_once = crowd_at_once
+        self._max_throttled = max_throttled
         self._limit = limit
-        self._throttled_prefix = crowd
+        self._throttled_prefix = throttled_prefix
         self._throttled_limit = int(limit * c.USER_CONNECTION_SHARE)
         self._open = 0
         self._throttled_open = 0
-        self._crowd_busy = 0
+        self._throttled_active = 0
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
@@ -101,14 +101,16 @@
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=c.MAX_HEADER_B)
         try:
             if self._open > self._limit:
-                await _send(conn, writer, answer(503, retry_after=c.RETRY_AFTER_S), close=True)
+                await _send(
+                    conn, writer, json_response(503, retry_after=c.RETRY_AFTER_S), close=True
+                )
                 return
-            while (request := await self._next(conn, reader, writer)) is not None:
+            while (request := await self._next_request(conn, reader, writer)) is not None:
                 if not throttled and self._is_throttled(request):
                     throttled = True
                     self._throttled_open += 1
                     if self._throttled_open > self._throttled_limit:
-                        reply = answer(503, {"error": "too many"}, c.RETRY_AFTER_S)
+                        reply = json_response(503, {"error": "too many"}, c.RETRY_AFTER_S)
                         await _send(conn, writer, reply, close=True)
                         return
                 await _send(conn, writer, await self._respond(request), close=False)
@@ -126,7 +128,7 @@
     def _is_throttled(self, request: Request) -> bool:
         return bool(self._throttled_prefix) and request.path.startswith(self._throttled_prefix)
 
-    async def _next(
+    async def _next_request(
         self, conn: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Request | None:
         """Reads the next request. Returns None if the connection is to be closed."""
@@ -134,26 +136,26 @@
             request = await _read_request(conn, reader)
         except h11.RemoteProtocolError as error:
             if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                reply = answer(error.error_status_hint, {"error": str(error)})
+                reply = json_response(error.error_status_hint, {"error": str(error)})
                 await _send(conn, writer, reply, close=True)
             return None
         except BodyTooLarge:
-            await _send(conn, writer, answer(413, {"error": "body over 64 KiB"}), close=True)
+            await _send(conn, writer, json_response(413, {"error": "body over 64 KiB"}), close=True)
             return None
         return request
 
     async def _respond(self, request: Request) -> Response:
         throttled = self._is_throttled(request)
-        if throttled and self._crowd_busy >= self._crowd_at_once():
-            return answer(503, {"error": "too many at once"}, c.RETRY_AFTER_S)
-        self._crowd_busy += throttled
+        if throttled and self._throttled_active >= self._max_throttled():
+            return json_response(503, {"error": "too many at once"}, c.RETRY_AFTER_S)
+        self._throttled_active += throttled
         try:
             return await self._handler(request)
         except Exception:  # a failed request must not end the connection or the node
             log.exception("request %s %s failed", request.method, request.path)
-            return answer(503, {"error": "internal"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "internal"}, c.RETRY_AFTER_S)
         finally:
-            self._crowd_busy -= throttled
+            self._throttled_active -= throttled
 
 
 class BodyTooLarge(Exception):
@@ -201,8 +203,8 @@
     data = conn.send(h11.Response(status_code=response.status, headers=headers)) or b""
     data += conn.send(h11.Data(data=response.body)) or b""
     data += conn.send(h11.EndOfMessage()) or b""
-    if response.written is not None:
-        response.written()
+    if response.on_send is not None:
+        response.on_send()
     writer.write(data)
     await writer.drain()
 
@@ -258,10 +260,10 @@
         timeout: float,
         still_wanted: Callable[[], bool] = _always,
     ) -> tuple[int, bytes]:
-        """Sends a request with an encoded body. Raises NoAnswer.
+        """Sends a request with an encoded body. Raises NoResponse.
 
         `still_wanted` is called once a connection is available, right before the first byte is
-        written; if it returns False, nothing is sent and Withdrawn is raised.
+        written; if it returns False, nothing is sent and RequestWithdrawn is raised.
         """
         sent = False
         pooled: _PooledConnection | None = None
@@ -271,14 +273,14 @@
                 pooled = self._idle.pop() if self._idle else await self._connect()
                 if not still_wanted():
                     self._put_back(pooled)
-                    raise Withdrawn(f"{method} {path}: withdrawn before it was sent")
+                    raise RequestWithdrawn(f"{method} {path}: withdrawn before it was sent")
                 sent = True
                 status, reply = await self._exchange(pooled, method, path, payload)
         except (OSError, TimeoutError, h11.ProtocolError, EOFError) as error:
             if pooled is not None:
                 pooled.writer.close()
             reason = type(error).__name__
-            raise NoAnswer(f"{method} {path}: {reason}", sent) from error
+            raise NoResponse(f"{method} {path}: {reason}", sent) from error
         except asyncio.CancelledError:
             if pooled is not None:
                 pooled.writer.close()
--- a/pulleydeal/journal/feature.py
+++ b/pulleydeal/journal/feature.py
@@ -1,6 +1,6 @@
 """Enables journaling for newly accepted jobs (section `[journal]` of features.toml)."""
 
-from pulleydeal.features.context import Handler, Service, Step
+from pulleydeal.features.context import Handler, NodeContext, Step
 from pulleydeal.features.routes import Route
 from pulleydeal.journal.metrics import JournalMetrics
 from pulleydeal.journal.service import FEATURE, FORMAT, Journal
@@ -9,7 +9,7 @@
 class JournalFeature:
     """Allows new jobs to be journaled. Jobs that already are remain journaled on every node."""
 
-    def __init__(self, service: Service, journal: Journal) -> None:
+    def __init__(self, service: NodeContext, journal: Journal) -> None:
         journal.enabled = True
         service.membership.serves[FEATURE] = FORMAT
         journal.metrics = JournalMetrics(
--- a/pulleydeal/membership/siblings.py
+++ b/pulleydeal/membership/siblings.py
@@ -69,7 +69,7 @@
     def __init__(self, settings: Settings, clock: Clock) -> None:
         self._clock = clock
         self._me = settings.node_name
-        self._listen_address = settings.back
+        self._listen_address = settings.peer_addr
         self._links = {
             s.node_name: Link(self._me, s.node_name, s.endpoint) for s in settings.siblings
         }
--- a/pulleydeal/metrics.py
+++ b/pulleydeal/metrics.py
@@ -8,13 +8,13 @@
         self.registry = CollectorRegistry(auto_describe=False)
         registry = self.registry
         self.starts = Counter("pulleydeal_task_starts", "Run commands given", registry=registry)
-        self.stops = Counter(
+        self.attempt_ends = Counter(
             "pulleydeal_task_ends",
             "Attempts that ended, by outcome",
             ["outcome"],
             registry=registry,
         )
-        self.refusals = Counter(
+        self.refused_submissions = Counter(
             "pulleydeal_submissions_refused",
             "Submissions not taken, by status",
             ["status"],
@@ -27,7 +27,7 @@
         self.credits = Gauge(
             "pulleydeal_credit_queue_machines", "Credits queued at this node", registry=registry
         )
-        self.asks = Gauge(
+        self.waiting_credit_requests = Gauge(
             "pulleydeal_asks_waiting", "Tasks that wait for credit here", registry=registry
         )
         self.waiting = Gauge(
--- a/pulleydeal/operators/client.py
+++ b/pulleydeal/operators/client.py
@@ -8,16 +8,18 @@
 
 from pulleydeal.settings import split_address
 
-DEFAULT = "127.0.0.1:9180"
-VARIABLE = "PULLEYDEAL_OPERATORS"
+DEFAULT_ADDRESS = "127.0.0.1:9180"
+ADDRESS_VARIABLE = "PULLEYDEAL_OPERATORS"
 
 
-class Failed(Exception):
+class RequestFailed(Exception):
     """A request was refused or got no answer; the message says why."""
 
 
-def ask(address: str, method: str, path: str, body: bytes = b"", timeout: float = 10.0) -> Any:
-    """Returns the decoded answer. Raises Failed with the server's or the connection's error."""
+def send_request(
+    address: str, method: str, path: str, body: bytes = b"", timeout: float = 10.0
+) -> Any:
+    """Returns the decoded answer. Raises RequestFailed with the reason if it failed."""
     try:
         host, port = split_address(address)
         connection = http.client.HTTPConnection(host, port, timeout=timeout)
@@ -26,10 +28,10 @@
         raw = response.read()
         reply = json.loads(raw)
     except (OSError, ValueError, RecursionError, http.client.HTTPException) as error:
-        raise Failed(f"{address}: {error}") from error
+        raise RequestFailed(f"{address}: {error}") from error
     if response.status != 200:
         error_body = reply.get("error", {}) if isinstance(reply, dict) else {}
-        raise Failed(error_body.get("message", f"{response.status} {raw[:200]!r}"))
+        raise RequestFailed(error_body.get("message", f"{response.status} {raw[:200]!r}"))
     return reply
 
 
@@ -39,37 +41,39 @@
     faults: list[str]
 
 
-def exit_code(command: Callable[[], int], fault_type: type[Exception]) -> int:
+def run_command(command: Callable[[], int], fault_type: type[Exception]) -> int:
     """Runs a command. Returns its own exit code, 2 for invalid input, 1 for a failed request."""
     try:
         return command()
     except fault_type as error:
         lines, code = cast(HasFaults, error).faults, 2
-    except Failed as error:
+    except RequestFailed as error:
         lines, code = str(error).splitlines(), 1
     for line in lines:
         print(f"pulleydeal: {line}", file=sys.stderr)
     return code
 
 
-def everything(address: str, path: str) -> list[dict[str, Any]]:
+def fetch_all(address: str, path: str) -> list[dict[str, Any]]:
     """Fetches all pages of a list."""
     items: list[dict[str, Any]] = []
     after = ""
     while True:
-        reply = ask(address, "GET", f"{path}?limit=500" + (f"&after={after}" if after else ""))
+        reply = send_request(
+            address, "GET", f"{path}?limit=500" + (f"&after={after}" if after else "")
+        )
         items += reply["items"]
         if reply["next"] is None:
             return items
         after = reply["next"]
 
 
-def show_json(value: Any) -> int:
+def print_json(value: Any) -> int:
     print(json.dumps(value, indent=2))
     return 0
 
 
-def rows(title: str, names: list[str], lines: list[list[str]]) -> None:
+def print_table(title: str, names: list[str], lines: list[list[str]]) -> None:
     """Prints a table; uses plain columns if `rich` is not installed."""
     try:
         from rich.console import Console
@@ -80,10 +84,10 @@
         for line in [names, *lines]:
             print("  ".join(x.ljust(w) for x, w in zip(line, widths, strict=True)).rstrip())
         return
-    Console().print(table(Table, title, names, lines))
+    Console().print(build_table(Table, title, names, lines))
 
 
-def table(table_class: Any, title: str, names: list[str], lines: list[list[str]]) -> Any:
+def build_table(table_class: Any, title: str, names: list[str], lines: list[list[str]]) -> Any:
     result = table_class(title=title, title_justify="left")
     for name in names:
         result.add_column(name)
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -8,10 +8,10 @@
 
 from pulleydeal import __version__, logs
 from pulleydeal.features import constants as fc
-from pulleydeal.features.context import Handler, Service, Step
-from pulleydeal.features.routes import Asked, Problem, Route, Table, page
+from pulleydeal.features.context import Handler, NodeContext, Step
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, RouteTable, paginate
 from pulleydeal.features.settings import Features
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.operators import constants as oc
 from pulleydeal.store.job import Job
 from pulleydeal.store.reasons import reason_text
@@ -25,7 +25,7 @@
     """The operators' interface: serves the routes of all enabled features."""
 
     def __init__(
-        self, features: Features, node: Service, routes: Callable[[], list[Route]]
+        self, features: Features, node: NodeContext, routes: Callable[[], list[Route]]
     ) -> None:
         assert features.operators is not None
         self._listen = features.operators.listen
@@ -33,7 +33,7 @@
         self._service = node
         self._replica = node.replica
         self._collect_routes = routes
-        self._table = Table()
+        self._table = RouteTable()
         self._run_id = secrets.token_hex(3)
         self._request_numbers = itertools.count(1)
         self._server = Server(self.handle, oc.CONNECTIONS)
@@ -62,7 +62,7 @@
         ]
 
     async def start(self) -> None:
-        self._table = Table(self._collect_routes())
+        self._table = RouteTable(self._collect_routes())
         await self._server.start(self._listen)
         log.info(
             "operators' interface listening on %s", self._listen, extra={"feature": "operators"}
@@ -72,18 +72,18 @@
         request_id = f"{self._run_id}-{next(self._request_numbers)}"
         with logs.request(request_id):
             try:
-                route, asked = self._table.find(
+                route, routed_request = self._table.find(
                     request.method, request.path, request.body, request_id
                 )
-                reply = answer(200, await route.handler(asked))
-            except Problem as problem:
-                log.info("%s %s: %s", request.method, request.path, problem.message)
-                reply = problem.answer(request_id)
+                reply = json_response(200, await route.handler(routed_request))
+            except ApiError as error:
+                log.info("%s %s: %s", request.method, request.path, error.message)
+                reply = error.answer(request_id)
         reply.headers.append(("X-Request-Id", request_id))
         return reply
 
     # --- routes that every node serves ------------------------------------------------------
-    async def _index(self, asked: Asked) -> Any:
+    async def _index(self, request: RoutedRequest) -> Any:
         return {
             "routes": [
                 {"method": x.method, "path": x.pattern, "query": list(x.query), "does": x.summary}
@@ -93,9 +93,9 @@
 
     def _require_replica(self) -> None:
         if not self._replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", 1)
+            raise ApiError(503, "not_ready", "the state is still being read", 1)
 
-    async def _node(self, asked: Asked) -> Any:
+    async def _node(self, request: RoutedRequest) -> Any:
         membership = self._service.membership
         return {
             "node": membership.me,
@@ -112,19 +112,19 @@
             },
         }
 
-    async def _jobs(self, asked: Asked) -> Any:
+    async def _jobs(self, request: RoutedRequest) -> Any:
         self._require_replica()
-        state = asked.choice("state", STATES, "open")
+        state = request.choice_param("state", STATES, "open")
         jobs = self._replica.jobs
         candidates = self._replica.open_jobs if state == "open" else jobs
         names = (n for n in candidates if state == "all" or _status(jobs[n]) == state)
-        return page(asked, names, lambda name: _summary(jobs[name]))
+        return paginate(request, names, lambda name: _summary(jobs[name]))
 
-    async def _job(self, asked: Asked) -> Any:
+    async def _job(self, request: RoutedRequest) -> Any:
         self._require_replica()
-        job = self._replica.jobs.get(asked.params["job"])
+        job = self._replica.jobs.get(request.params["job"])
         if job is None or job.record is None:
-            raise Problem(404, "no_such_job", f"no job {asked.params['job']!r} is known here")
+            raise ApiError(404, "no_such_job", f"no job {request.params['job']!r} is known here")
         tasks = [
             {"task": index, "machine": task.machine, "attempt": task.attempt}
             for index, task in sorted(job.bindings())[: fc.MAX_PAGE_SIZE]
@@ -132,16 +132,18 @@
         last = {"last_stop": reason_text(job.last_stop_reason)} if job.last_stop_reason else {}
         return _summary(job) | {"bound": tasks} | last
 
-    async def _description(self, asked: Asked) -> Any:
+    async def _description(self, request: RoutedRequest) -> Any:
         self._require_replica()
-        job = self._replica.jobs.get(asked.params["job"])
+        job = self._replica.jobs.get(request.params["job"])
         if job is None or job.spec is None:
-            raise Problem(404, "no_such_job", f"no open job {asked.params['job']!r} is known here")
+            raise ApiError(
+                404, "no_such_job", f"no open job {request.params['job']!r} is known here"
+            )
         return as_submission(job.spec)
 
-    async def _machines(self, asked: Asked) -> Any:
+    async def _machines(self, request: RoutedRequest) -> Any:
         self._require_replica()
-        return page(asked, self._replica.machines, self._machine)
+        return paginate(request, self._replica.machines, self._machine)
 
     def _machine(self, name: str) -> dict[str, Any]:
         record = self._replica.machines[name].record
@@ -156,7 +158,7 @@
             "bound": [f"{job}/{index}" for job, index in sorted(bound)],
         }
 
-    async def _teams(self, asked: Asked) -> Any:
+    async def _teams(self, request: RoutedRequest) -> Any:
         self._require_replica()
         usage = self._replica.usage()
         return {
--- a/pulleydeal/policy/settings.py
+++ b/pulleydeal/policy/settings.py
@@ -75,7 +75,7 @@
         self._expressions = dict(expressions or {})
         self._reported: set[str] = set()
 
-    def decides(self, name: str) -> bool:
+    def has_expression(self, name: str) -> bool:
         """Whether the operators set an expression for this setting."""
         return name in self._expressions
 
--- a/pulleydeal/recurring/cli.py
+++ b/pulleydeal/recurring/cli.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from pulleydeal.operators.client import (
-    DEFAULT,
-    VARIABLE,
-    Failed,
-    ask,
-    everything,
-    exit_code,
-    rows,
-    show_json,
+    ADDRESS_VARIABLE,
+    DEFAULT_ADDRESS,
+    RequestFailed,
+    fetch_all,
+    print_json,
+    print_table,
+    run_command,
+    send_request,
 )
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import crontab, mapping, schedule
@@ -62,13 +62,13 @@
             verb.add_argument("table")
     for verb in verbs.choices.values():
         verb.add_argument("--json", action="store_true", help="the answer as it came")
-        verb.add_argument("--operators", default=os.environ.get(VARIABLE, DEFAULT))
+        verb.add_argument("--operators", default=os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS))
     return top
 
 
 def main(argv: list[str]) -> int:
     options = parser().parse_args(argv)
-    return exit_code(lambda: run(options), BadTable)
+    return run_command(lambda: run(options), BadTable)
 
 
 # --- reading -----------------------------------------------------------------------------------
@@ -131,27 +131,27 @@
             return dry_run(entries, rules)
         return bring_in(options, text, raw)
     if verb == "list":
-        found = everything(address, "/v1/cron/tables")
+        found = fetch_all(address, "/v1/cron/tables")
         if options.json:
-            return show_json(found)
+            return print_json(found)
         names = ["table", "state", "lines", "leader", "version"]
-        rows("cron tables", names, [[str(x[name]) for name in names] for x in found])
+        print_table("cron tables", names, [[str(x[name]) for name in names] for x in found])
         return 0
     path = f"/v1/cron/tables/{options.table}"
     if verb == "export":
         sys.stdout.buffer.write(exported(address, path))
         return 0
     if verb == "history":
-        found = everything(address, f"{path}/history")
+        found = fetch_all(address, f"{path}/history")
         if options.json:
-            return show_json(found)
+            return print_json(found)
         for x in found:
             print(f"{clock(x['at'])}  {x['what']}" + (f": {x['why']}" if x.get("why") else ""))
         return 0
     if verb == "next":
-        found = everything(address, f"{path}/lines")
-        return show_json(found) if options.json else show_next(options.table, found)
-    found = ask(address, "POST", f"{path}/{verb}")
+        found = fetch_all(address, f"{path}/lines")
+        return print_json(found) if options.json else show_next(options.table, found)
+    found = send_request(address, "POST", f"{path}/{verb}")
     print(f"{found['table']}: {found['state']}")
     return 0
 
@@ -160,11 +160,11 @@
     address, table = options.operators, options.table
     for at in range(0, max(1, len(text)), kc.UPLOAD_B):
         piece = text[at : at + kc.UPLOAD_B]
-        ask(address, "POST", f"/v1/cron/uploads/{table}?at={at}", piece)
+        send_request(address, "POST", f"/v1/cron/uploads/{table}?at={at}", piece)
     path = f"/v1/cron/tables/{table}"
-    found = ask(address, "POST", path, raw.encode(), IMPORT_S)
+    found = send_request(address, "POST", path, raw.encode(), IMPORT_S)
     if options.json:
-        return show_json(found)
+        return print_json(found)
     print(
         f"{found['table']}: version {found['version']} is in force: {found['lines']} lines,"
         f" {found['new']} new, {found['gone']} gone"
@@ -173,10 +173,10 @@
 
 
 def exported(address: str, path: str) -> bytes:
-    table = ask(address, "GET", path)
-    parts = [ask(address, "GET", f"{path}/text/{k}") for k in range(table["parts"])]
+    table = send_request(address, "GET", path)
+    parts = [send_request(address, "GET", f"{path}/text/{k}") for k in range(table["parts"])]
     if any(part["version"] != table["version"] for part in parts):
-        raise Failed("the table was changed meanwhile: export it again")
+        raise RequestFailed("the table was changed meanwhile: export it again")
     return "".join(part["text"] for part in parts).encode()
 
 
@@ -184,8 +184,8 @@
     """By line: what stays keeps its history and never fires again for it."""
     here = {entry.id: entry for entry in entries}
     try:
-        there = {x["line"]: x for x in everything(address, f"/v1/cron/tables/{table}/lines")}
-    except Failed as error:
+        there = {x["line"]: x for x in fetch_all(address, f"/v1/cron/tables/{table}/lines")}
+    except RequestFailed as error:
         if "no table" not in str(error):
             raise
         there = {}
@@ -236,5 +236,5 @@
         for x in found
     ]
     names = ["line", "schedule", "zone", "next (here)", "jobs", "last job", "note"]
-    rows(table, names, lines)
+    print_table(table, names, lines)
     return 0
--- a/pulleydeal/recurring/imports.py
+++ b/pulleydeal/recurring/imports.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pulleydeal.features.routes import Problem
+from pulleydeal.features.routes import ApiError
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import crontab, mapping, tables
 from pulleydeal.recurring import state as st
@@ -62,29 +62,31 @@
             upload = self._uploads[table] = Upload(now)
         if upload is None or len(upload.text) != offset:
             have = len(upload.text) if upload else 0
-            raise Problem(409, "wrong_offset", f"{have} B are here, so the next piece is at {have}")
+            raise ApiError(
+                409, "wrong_offset", f"{have} B are here, so the next piece is at {have}"
+            )
         if offset + len(piece) > kc.MOST_TABLE_B:
             text = f"a table has {kc.MOST_TABLE_B} B at most"
-            raise Problem(413, "too_large", text)
+            raise ApiError(413, "too_large", text)
         upload.at = now
         upload.text += piece
         return len(upload.text)
 
     async def plan(self, name: str, raw_mapping: str) -> Plan:
-        """Reads and checks all of it; Problem 422 with all faults if there is one."""
+        """Reads and checks all of it; ApiError 422 with all faults if there is one."""
         upload = self._uploads.get(name)
         if upload is None:
-            raise Problem(409, "no_upload", f"upload the text of {name} to this node first")
+            raise ApiError(409, "no_upload", f"upload the text of {name} to this node first")
         text = bytes(upload.text)
         try:
             rules = mapping.parse(raw_mapping)
         except mapping.MappingError as error:
-            raise Problem(422, "bad_mapping", str(error)) from error
+            raise ApiError(422, "bad_mapping", str(error)) from error
         entries, faults = crontab.read(text, rules.system)
         faults += await self._faults(rules, entries)
         if faults:
             faults.sort(key=lambda f: (f.line, f.column))
-            raise Problem(422, "bad_table", faults_text(faults))
+            raise ApiError(422, "bad_table", faults_text(faults))
         table = self._all.table(name)
         old: set[str] = set()
         if table is not None and not table.removed:
@@ -101,7 +103,7 @@
     async def _faults(self, rules: mapping.Mapping, entries: list[Entry]) -> list[Fault]:
         node = self._all.node
         if not node.replica.types:
-            raise Problem(503, "not_ready", "the machine types are not known yet", 1)
+            raise ApiError(503, "not_ready", "the machine types are not known yet", 1)
         now = int(self._all.clock.wall())
         faults: list[Fault] = []
         told: dict[object, str] = {}
@@ -125,7 +127,7 @@
         """Pieces first, then marks of new lines, then the one change that counts."""
         records = self._all.records
         table = self._all.table(name)
-        read = {st.table_name(name): records.mark(st.table_name(name))}
+        read = {st.table_name(name): records.version(st.table_name(name))}
         if table is not None and table.version == plan.version and not table.removed:
             return table
         texts = st.pieces(plan.text.decode())
@@ -150,10 +152,10 @@
                 self._uploads.pop(name, None)
                 return new
         except (Unavailable, OutcomeUnknown, TimeoutError) as error:
-            raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
+            raise ApiError(503, "unavailable", "the state service can't be asked", 1) from error
         except TooLarge as error:
-            raise Problem(422, "too_large", str(error)) from error
-        raise Problem(409, "moved", f"{name} was changed meanwhile: look, and import again")
+            raise ApiError(422, "too_large", str(error)) from error
+        raise ApiError(409, "moved", f"{name} was changed meanwhile: look, and import again")
 
     async def _mark_new(self, name: str, plan: Plan, now: int) -> None:
         """New lines begin with the table: nothing before it is made up for."""
@@ -169,7 +171,7 @@
                 old = marks.lines.get(line)
                 count = old.count if old else 0
                 marks.lines[line] = st.Mark(now - 1, count, 0, plan.version)
-            puts[key], read[key] = marks, self._all.records.mark(key)
+            puts[key], read[key] = marks, self._all.records.version(key)
         await self._in_batches(puts, read)
 
     async def _in_batches(self, puts: dict[str, object], read: dict[str, int]) -> None:
@@ -181,7 +183,7 @@
             if not await self._all.records.commit(
                 marks, dict(batch), priority=WritePriority.BACKGROUND
             ):
-                raise Problem(409, "moved", "its marks moved meanwhile: import again")
+                raise ApiError(409, "moved", "its marks moved meanwhile: import again")
 
     async def sweep(self, name: str, table: st.Table) -> bool:
         """Drops pieces that no version in force needs, a transaction's worth; False: none left."""
@@ -197,7 +199,7 @@
             old += records.names(f"k/{name}/")
         if not old:
             return False
-        read = {st.table_name(name): records.mark(st.table_name(name))}
+        read = {st.table_name(name): records.version(st.table_name(name))}
         return await records.commit(
             read, {}, sorted(old)[: kc.BATCH_CHANGES], priority=WritePriority.BACKGROUND
         )
--- a/pulleydeal/recurring/interface.py
+++ b/pulleydeal/recurring/interface.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pulleydeal.features.routes import Asked, Problem, Route, page
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, paginate
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import decide, tables
 from pulleydeal.recurring import state as st
@@ -48,48 +48,48 @@
         slot = st.entry_name(name, number % kc.KEPT_ENTRIES)
         return {st.table_name(name): new, slot: entry}
 
-    def _name(self, asked: Asked) -> str:
-        name = asked.params["table"]
+    def _name(self, request: RoutedRequest) -> str:
+        name = request.params["table"]
         if not TABLE.match(name):
             text = f"{name!r}: a table's name has small letters, digits, . _ -, 40 at most"
-            raise Problem(400, "bad_name", text)
+            raise ApiError(400, "bad_name", text)
         return name
 
-    def _known(self, asked: Asked) -> tuple[str, st.Table]:
-        name = self._name(asked)
+    def _known(self, request: RoutedRequest) -> tuple[str, st.Table]:
+        name = self._name(request)
         if not self._all.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", 1)
+            raise ApiError(503, "not_ready", "the state is still being read", 1)
         table = self._all.table(name)
         if table is None or table.removed:
-            raise Problem(404, "no_such_table", f"no table {name!r}")
+            raise ApiError(404, "no_such_table", f"no table {name!r}")
         return name, table
 
     def _ready(self) -> None:
         if not self._all.records.ready:
             text = "not every node has shown that it has recurring jobs on, with this tzdata"
-            raise Problem(503, "not_everywhere", text, 1)
+            raise ApiError(503, "not_everywhere", text, 1)
 
     # --- bringing in --------------------------------------------------------------------------
-    async def _upload(self, asked: Asked) -> Any:
-        at = asked.query.get("at", "0")
+    async def _upload(self, request: RoutedRequest) -> Any:
+        at = request.query.get("at", "0")
         if not at.isdecimal():
-            raise Problem(400, "bad_query", "at must be a whole number")
-        return {"has": self.imports.upload(self._name(asked), int(at), asked.body)}
+            raise ApiError(400, "bad_query", "at must be a whole number")
+        return {"has": self.imports.upload(self._name(request), int(at), request.body)}
 
-    def _mapping(self, asked: Asked) -> str:
+    def _mapping(self, request: RoutedRequest) -> str:
         try:
-            return asked.body.decode()
+            return request.body.decode()
         except UnicodeDecodeError as error:
-            raise Problem(400, "bad_mapping", f"not UTF-8: {error}") from error
+            raise ApiError(400, "bad_mapping", f"not UTF-8: {error}") from error
 
-    async def _check(self, asked: Asked) -> Any:
-        plan = await self.imports.plan(self._name(asked), self._mapping(asked))
+    async def _check(self, request: RoutedRequest) -> Any:
+        plan = await self.imports.plan(self._name(request), self._mapping(request))
         return {"lines": plan.lines, "new": len(plan.new), "gone": plan.gone}
 
-    async def _import(self, asked: Asked) -> Any:
+    async def _import(self, request: RoutedRequest) -> Any:
         self._ready()
-        name = self._name(asked)
-        plan = await self.imports.plan(name, self._mapping(asked))
+        name = self._name(request)
+        plan = await self.imports.plan(name, self._mapping(request))
         table = await self.imports.carry_out(name, plan)
         return {
             "table": name,
@@ -100,10 +100,10 @@
         }
 
     # --- showing ------------------------------------------------------------------------------
-    async def _list(self, asked: Asked) -> Any:
+    async def _list(self, request: RoutedRequest) -> Any:
         found = {name: self._all.table(name) for name in self._all.names()}
         kept = [name for name, table in found.items() if table and not table.removed]
-        return page(asked, kept, self._summary)
+        return paginate(request, kept, self._summary)
 
     def _summary(self, name: str) -> dict[str, Any]:
         table = self._all.table(name)
@@ -115,18 +115,18 @@
         found = {"table": name, "state": state, "lines": table.lines, "leader": leader}
         return found | {"version": table.version, "at": table.at}
 
-    async def _show(self, asked: Asked) -> Any:
-        name, table = self._known(asked)
+    async def _show(self, request: RoutedRequest) -> Any:
+        name, table = self._known(request)
         more = {"parts": table.parts, "mapping_parts": table.mapping_parts}
         return self._summary(name) | more
 
-    async def _lines(self, asked: Asked) -> Any:
-        name, table = self._known(asked)
+    async def _lines(self, request: RoutedRequest) -> Any:
+        name, table = self._known(request)
         try:
             text = tables.text_of(self._all.records, name, table)
             lines, _ = await tables.lines_of(*text)
         except tables.Broken as error:
-            raise Problem(503, "broken", str(error)) from error
+            raise ApiError(503, "broken", str(error)) from error
         by_number = {f"{line.number:07d}": line for line in lines}
 
         def shown(number: str) -> dict[str, Any]:
@@ -145,10 +145,10 @@
                 "note": mark.note if mark else "",
             }
 
-        return page(asked, by_number, shown)
+        return paginate(request, by_number, shown)
 
-    async def _history(self, asked: Asked) -> Any:
-        name, table = self._known(asked)
+    async def _history(self, request: RoutedRequest) -> Any:
+        name, table = self._known(request)
         first = max(1, table.entries - kc.KEPT_ENTRIES + 1)
         numbers = {f"{n:08d}": n for n in range(first, table.entries + 1)}
 
@@ -157,51 +157,51 @@
             entry = self._all.records.get(slot, st.Entry)
             return {"number": number} | dict(msgspec.to_builtins(entry))
 
-        return page(asked, numbers, shown)
+        return paginate(request, numbers, shown)
 
-    async def _piece(self, asked: Asked) -> Any:
-        return self._part(asked, "p")
+    async def _piece(self, request: RoutedRequest) -> Any:
+        return self._part(request, "p")
 
-    async def _piece_mapping(self, asked: Asked) -> Any:
-        return self._part(asked, "m")
+    async def _piece_mapping(self, request: RoutedRequest) -> Any:
+        return self._part(request, "m")
 
-    def _part(self, asked: Asked, kind: st.Piece) -> Any:
-        name, table = self._known(asked)
-        raw = asked.params["part"]
+    def _part(self, request: RoutedRequest, kind: st.Piece) -> Any:
+        name, table = self._known(request)
+        raw = request.params["part"]
         found = None
         if raw.isdecimal():
             key = st.piece_name(kind, name, table.version, int(raw))
             found = self._all.records.get(key, str)
         if found is None:
-            raise Problem(404, "no_such_part", f"no part {raw} of {name}")
+            raise ApiError(404, "no_such_part", f"no part {raw} of {name}")
         return {"version": table.version, "text": found}
 
     # --- changing -----------------------------------------------------------------------------
-    async def _change(self, asked: Asked, what: str, **changes: Any) -> Any:
+    async def _change(self, request: RoutedRequest, what: str, **changes: Any) -> Any:
         self._ready()
-        name, table = self._known(asked)
+        name, table = self._known(request)
         new = msgspec.structs.replace(table, **changes)
         if new == table:
             return self._summary(name)
         entry = st.Entry(self._all.clock.wall(), f"{what}, asked by an operator")
-        read = {st.table_name(name): self._all.records.mark(st.table_name(name))}
+        read = {st.table_name(name): self._all.records.version(st.table_name(name))}
         try:
             done = await self._all.records.commit(read, self.told(name, new, entry))
         except (Unavailable, OutcomeUnknown, TimeoutError) as error:
-            raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
+            raise ApiError(503, "unavailable", "the state service can't be asked", 1) from error
         if not done:
-            raise Problem(409, "moved", f"{name} was changed meanwhile: look, and ask again")
+            raise ApiError(409, "moved", f"{name} was changed meanwhile: look, and ask again")
         return {"table": name, "state": what}
 
-    async def _pause(self, asked: Asked) -> Any:
-        return await self._change(asked, "paused", paused=True)
+    async def _pause(self, request: RoutedRequest) -> Any:
+        return await self._change(request, "paused", paused=True)
 
-    async def _resume(self, asked: Asked) -> Any:
-        _, table = self._known(asked)
+    async def _resume(self, request: RoutedRequest) -> Any:
+        _, table = self._known(request)
         if not table.paused:
-            return await self._change(asked, "resumed")
+            return await self._change(request, "resumed")
         now = int(self._all.clock.wall())
-        return await self._change(asked, "resumed", paused=False, resumed=now)
+        return await self._change(request, "resumed", paused=False, resumed=now)
 
-    async def _remove(self, asked: Asked) -> Any:
-        return await self._change(asked, "removed", removed=True)
+    async def _remove(self, request: RoutedRequest) -> Any:
+        return await self._change(request, "removed", removed=True)
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import Histogram
 
-from pulleydeal.features.context import Handler, Service, Step
+from pulleydeal.features.context import Handler, NodeContext, Step
 from pulleydeal.features.records import Records
 from pulleydeal.features.routes import Route
 from pulleydeal.recurring import constants as kc
@@ -32,7 +32,7 @@
 
 
 class Recurring:
-    def __init__(self, node: Service) -> None:
+    def __init__(self, node: NodeContext) -> None:
         from pulleydeal.recurring.interface import Interface
 
         self.node = node
@@ -198,8 +198,8 @@
             if found.missed_since or found.what == "refuse":
                 since = f" since {found.missed_since}" if found.missed_since else ""
                 told.append(f"line {one.line.number} {found.what}{since}: {found.why}")
-        read = {st.marks_name(name, b): self.records.mark(st.marks_name(name, b)) for b in marks}
-        read[st.table_name(name)] = self.records.mark(st.table_name(name))
+        read = {st.marks_name(name, b): self.records.version(st.marks_name(name, b)) for b in marks}
+        read[st.table_name(name)] = self.records.version(st.table_name(name))
         puts: dict[str, object] = {st.marks_name(name, b): m for b, m in marks.items()}
         if told:
             why = "; ".join(told)[:600]
--- a/pulleydeal/rollouts/cli.py
+++ b/pulleydeal/rollouts/cli.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from pulleydeal.operators.client import (
-    DEFAULT,
-    VARIABLE,
-    Failed,
-    ask,
-    everything,
-    exit_code,
-    rows,
-    show_json,
-    table,
+    ADDRESS_VARIABLE,
+    DEFAULT_ADDRESS,
+    RequestFailed,
+    build_table,
+    fetch_all,
+    print_json,
+    print_table,
+    run_command,
+    send_request,
 )
 from pulleydeal.rollouts.description import DescriptionError, read
 
@@ -47,15 +47,16 @@
             verb.add_argument("--json", action="store_true", help="the answer as it came")
             verb.add_argument(
                 "--operators",
-                default=os.environ.get(VARIABLE, DEFAULT),
-                help=f"a node's operators' address (default: ${VARIABLE} or {DEFAULT})",
+                default=os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS),
+                help=f"a node's operators' address (default: ${ADDRESS_VARIABLE}"
+                f" or {DEFAULT_ADDRESS})",
             )
     return top
 
 
 def main(argv: list[str]) -> int:
     options = parser().parse_args(argv)
-    return exit_code(lambda: run(options), DescriptionError)
+    return run_command(lambda: run(options), DescriptionError)
 
 
 def run(options: argparse.Namespace) -> int:
@@ -63,9 +64,9 @@
     if verb in ("check", "start"):
         read(options.file)  # faults of its own are told with the file's name, without a node
         path = "/v1/rollouts/check" if verb == "check" else "/v1/rollouts"
-        found = ask(address, "POST", path, options.file.read_bytes())
+        found = send_request(address, "POST", path, options.file.read_bytes())
         if options.json:
-            return show_json(found)
+            return print_json(found)
         if verb == "check":
             print(f"{options.file}: good: {found['says']}")
         elif "rollout" in found:
@@ -76,29 +77,29 @@
             print(f"{found['service']}: version {found['version']} {found['says']}")
         return 0
     if verb == "list":
-        found = everything(address, "/v1/services")
-        return show_json(found) if options.json else show_list(found)
+        found = fetch_all(address, "/v1/services")
+        return print_json(found) if options.json else show_list(found)
     path = f"/v1/services/{options.service}"
     if verb == "watch":
         return watch(address, path)
     if verb in ("pause", "resume", "abort", "remove"):
-        found = ask(address, "POST", f"{path}/{verb}")
+        found = send_request(address, "POST", f"{path}/{verb}")
         if options.json:
-            return show_json(found)
+            return print_json(found)
         print(f"{found['service']}: {found['state']}")
         return 0
     if verb == "history":
-        found = everything(address, f"{path}/history")
-        return show_json(found) if options.json else show_history(found)
-    found = ask(address, "GET", path + ("/endpoints" if verb == "endpoints" else ""))
+        found = fetch_all(address, f"{path}/history")
+        return print_json(found) if options.json else show_history(found)
+    found = send_request(address, "GET", path + ("/endpoints" if verb == "endpoints" else ""))
     if options.json:
-        return show_json(found)
+        return print_json(found)
     return show_endpoints(found) if verb == "endpoints" else show_service(found)
 
 
 def show_list(found: list[dict[str, Any]]) -> int:
     names = ["service", "state", "good", "copies", "ready"]
-    rows("services", names, [[str(x[name]) for name in names] for x in found])
+    print_table("services", names, [[str(x[name]) for name in names] for x in found])
     return 0
 
 
@@ -127,14 +128,14 @@
 
 
 def show_service(found: dict[str, Any]) -> int:
-    rows(headline(found), COPY_NAMES, copy_lines(found))
+    print_table(headline(found), COPY_NAMES, copy_lines(found))
     return 0
 
 
 def show_endpoints(found: dict[str, Any]) -> int:
     names = ["address", "version", "zone", "job"]
     lines = [[str(x[name]) for name in names] for x in found["ready"]]
-    rows(f"{found['service']}: revision {found['revision']}", names, lines)
+    print_table(f"{found['service']}: revision {found['revision']}", names, lines)
     return 0
 
 
@@ -156,7 +157,7 @@
         from rich.text import Text
     except ModuleNotFoundError as error:
         how = "python3 -m pip install -r requirements-cli.txt"
-        raise Failed(f"watch needs the library rich: {how}") from error
+        raise RequestFailed(f"watch needs the library rich: {how}") from error
     shown: dict[str, Any] = {}
 
     def view() -> Group:
@@ -166,19 +167,19 @@
             new = sum(x["version"] == r["to"] for x in shown["copies"])
             done, most = new, r["wanted"][-1] if r["wanted"] else max(1, new)
             steps = Text(f"[{'#' * done}{'.' * max(0, most - done)}] {done} of {most} copies\n")
-        made = table(Table, headline(shown), COPY_NAMES, copy_lines(shown))
+        made = build_table(Table, headline(shown), COPY_NAMES, copy_lines(shown))
         return Group(made, steps)
 
-    shown = ask(address, "GET", path)
+    shown = send_request(address, "GET", path)
     try:
         with Live(view(), refresh_per_second=4) as live:
             while shown.get("rollout"):
                 time.sleep(LOOK_S)
-                shown = ask(address, "GET", path)
+                shown = send_request(address, "GET", path)
                 live.update(view())
     except KeyboardInterrupt:
         return 0
-    entries = everything(address, f"{path}/history")
+    entries = fetch_all(address, f"{path}/history")
     if entries:
         print(f"{entries[-1]['what']}: {entries[-1].get('why', '')}")
     return 0
--- a/pulleydeal/rollouts/prober.py
+++ b/pulleydeal/rollouts/prober.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.description import Check
 from pulleydeal.rollouts.health import Answer, Copy
@@ -35,7 +35,7 @@
         client = Client(copy.address, self._clock)
         try:
             status, body = await client.request("GET", check.path, None, check.timeout_s)
-        except NoAnswer as error:
+        except NoResponse as error:
             return Answer("silent", f"no answer: {error}"[: rc.EVIDENCE_CHARS])
         finally:
             client.close()
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -5,7 +5,7 @@
 from typing import TypeVar
 
 from pulleydeal.background import BackgroundTasks
-from pulleydeal.features.context import Handler, Service, Step
+from pulleydeal.features.context import Handler, NodeContext, Step
 from pulleydeal.features.records import Records
 from pulleydeal.features.routes import Route
 from pulleydeal.rollouts import constants as rc
@@ -27,7 +27,7 @@
 
 
 class Rollouts:
-    def __init__(self, node: Service) -> None:
+    def __init__(self, node: NodeContext) -> None:
         from pulleydeal.rollouts.interface import Interface
 
         self.node = node
@@ -61,7 +61,7 @@
     # --- records ------------------------------------------------------------------------------
     def _get(self, name: str, type_: type[T]) -> T | None:
         """A record, decoded once for each version of it; never to be changed in place."""
-        mark = self.records.mark(name)
+        mark = self.records.version(name)
         cached = self._decoded.get(name)
         if cached is None or cached[0] != mark:
             cached = (mark, self.records.get(name, type_))
@@ -167,7 +167,7 @@
     ) -> bool:
         """One transaction: the record, the history, the endpoints, and jobs begun or ended."""
         key = st.service_name(name)
-        marks = {key: self.records.mark(key)}
+        marks = {key: self.records.version(key)}
         if self.service(name) is not read:
             return False  # it moved while this was being decided
         puts: dict[str, object] = {}
@@ -178,7 +178,7 @@
         if ready is not None:
             endpoints = st.endpoints_name(name)
             puts[endpoints] = st.Endpoints(ready)
-            marks[endpoints] = self.records.mark(endpoints)
+            marks[endpoints] = self.records.version(endpoints)
         if decision is not None:
             service = decision.service
             if decision.told:
@@ -214,7 +214,7 @@
             wall, service, decision.what, decision.why, decision.evidence
         )
         old = st.entry_name(name, service.entries - rc.KEPT_ENTRIES)
-        return [old] if self.records.mark(old) else []
+        return [old] if self.records.version(old) else []
 
     def _accept(
         self,
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -114,7 +114,7 @@
     if spec.kind == "array" and age > c.ARRAY_FIRST_START_S and has_objective and not job.has_begun:
         return 0, c.LEAST_WORK  # shortest first left the longest without a single start
     remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
-    if policy is not None and policy.decides("order"):
+    if policy is not None and policy.has_expression("order"):
         return missed_objectives, policy.value(
             "order", _policy_inputs(job, spec, age, remaining_work_s)
         )
--- a/pulleydeal/settings.py
+++ b/pulleydeal/settings.py
@@ -41,7 +41,7 @@
     gpus_max: NonNegative = 0.0
 
 
-class WorkerTimes(Struct):
+class WorkerTimings(Struct):
     report_s: Positive
     lease_s: Positive
     gang_wait_s: Positive
@@ -84,7 +84,7 @@
 class Deployment(Struct):
     zones: Annotated[list[Name], Meta(min_length=1)]
     teams: list[Team]
-    workers: WorkerTimes
+    workers: WorkerTimings
     state: StateLimits
     cloud: CloudLimits
     machine_limits: MachineLimits = msgspec.field(default_factory=MachineLimits)
@@ -96,7 +96,7 @@
     node_name: Name
     zone: Name
     api_addr: Address
-    back: Address
+    peer_addr: Address = msgspec.field(name="back")
     endpoints: Endpoints
     deployment: Deployment
     siblings: list[Sibling] = []
--- a/pulleydeal/store/client.py
+++ b/pulleydeal/store/client.py
@@ -12,7 +12,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
-from pulleydeal.http import MALFORMED, Client, NoAnswer
+from pulleydeal.http import DECODE_ERRORS, Client, NoResponse
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import messages as m
 from pulleydeal.store.rate import TokenBucket, WritePriority, WriteScheduler
@@ -63,7 +63,7 @@
     """Decodes a response body. A malformed one counts as no response."""
     try:
         return decoder.decode(reply)
-    except MALFORMED as error:
+    except DECODE_ERRORS as error:
         raise OutcomeUnknown(f"malformed response: {error}") from error
 
 
@@ -112,7 +112,7 @@
         sent_at = self._clock.now()
         try:
             status, reply = await self._http.request(method, path, body, timeout)
-        except NoAnswer as error:
+        except NoResponse as error:
             self._record_outcome(served=False)
             if error.sent:
                 raise OutcomeUnknown(str(error)) from error
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -13,7 +13,7 @@
 from pulleydeal.credits.messages import Resources
 from pulleydeal.credits.queue import FreeCapacity
 from pulleydeal.decisions import Action, Decision, DecisionLog
-from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.http import DECODE_ERRORS, Request, Response, json_response
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Team
@@ -98,14 +98,14 @@
             return await self._require_method("GET", request, self.show(path[1]))
         if len(path) == 3 and path[2] == "cancel":
             return await self._require_method("POST", request, self.cancel(path[1]))
-        return answer(404, {"error": "no such path"})
+        return json_response(404, {"error": "no such path"})
 
     async def _require_method(
         self, method: str, request: Request, coroutine: Coroutine[None, None, Response]
     ) -> Response:
         if request.method != method:
             coroutine.close()
-            reply = answer(405, {"error": f"only {method}"})
+            reply = json_response(405, {"error": f"only {method}"})
             reply.headers.append(("Allow", method))
             return reply
         try:
@@ -113,12 +113,14 @@
                 response = await coroutine
         except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             log.debug("%s %s: %s", request.method, request.path, error)
-            response = answer(503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S)
+            response = json_response(
+                503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S
+            )
         if response.status == 503 and self._membership.shut_out():
             # The load balancer then sends the client's next try to a node that can answer.
             response.headers.append(("Connection", "close"))
         if response.status >= 400:
-            self._metrics.refusals.labels(str(response.status)).inc()
+            self._metrics.refused_submissions.labels(str(response.status)).inc()
         return response
 
     def _overload_answer(self) -> Response | None:
@@ -128,19 +130,19 @@
         retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, per_s)
         if retry_s is None:
             return None
-        return answer(503, {"error": "more comes than can be written"}, retry_s)
+        return json_response(503, {"error": "more comes than can be written"}, retry_s)
 
     # --- submit -----------------------------------------------------------------------------
     async def submit(self, body: bytes) -> Response:
         try:
             spec = m.SUBMISSION.decode(body).spec()
-        except MALFORMED as error:
+        except DECODE_ERRORS as error:
             return await self._reject_malformed(body, str(error))
         known = self._replica.jobs.get(spec.id)
         if known is not None and known.record is not None:
             return await self.show(spec.id)
         if not self.ready:
-            return answer(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
         reason = rejection_reason(spec, self._teams, self._replica.types, self._zones)
         if reason:
             return await self._reject(spec.id, 422, reason)
@@ -176,13 +178,13 @@
                 )
             if spec.id in self._replica.jobs:
                 return await self.show(spec.id)
-        return answer(503, {"error": "the view keeps changing"}, c.RETRY_AFTER_S)
+        return json_response(503, {"error": "the view keeps changing"}, c.RETRY_AFTER_S)
 
     async def _dependency_error(self, spec: r.JobSpec) -> Response | None:
         """The answer to a job that can't be accepted because of the jobs it waits on; else None."""
         if not self._membership.all_support(c.FORMAT_WAITS):
             # A node of an older version would start its tasks at once if it became the leader.
-            return answer(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
         if any(name not in jobs for name in spec.waits_on):
             await self._store.ensure_fresh()  # another node may have accepted one a moment ago
@@ -210,17 +212,17 @@
         await self._store.ensure_fresh()
         if job in self._replica.jobs:
             return await self.show(job)
-        return answer(status, {"error": reason})
+        return json_response(status, {"error": reason})
 
     async def _reject_malformed(self, body: bytes, reason: str) -> Response:
         try:
             parsed = msgspec.json.decode(body)
-        except MALFORMED:
-            return answer(400, {"error": reason})
+        except DECODE_ERRORS:
+            return json_response(400, {"error": reason})
         job = parsed.get("name_id") if isinstance(parsed, dict) else None
         if isinstance(job, str) and JOB_ID.match(job):
             return await self._reject(job, 400, reason)
-        return answer(400, {"error": reason})
+        return json_response(400, {"error": reason})
 
     async def _current_job(self, job_id: str) -> Job | None:
         """The job in its current state; only a state that is not final needs a fresh read."""
@@ -234,7 +236,7 @@
     async def show(self, job_id: str) -> Response:
         job = await self._current_job(job_id)
         if job is None or job.record is None:
-            return answer(404, {"error": "no such job"})
+            return json_response(404, {"error": "no such job"})
         if self._unconfirmed(job) and self._partition_policy.may_confirm_cancel(job):
             await self._confirm_cancellation(job)
             job = self._replica.jobs.get(job_id, job)  # the replica may have been reloaded
@@ -242,14 +244,14 @@
         # say that it runs. Otherwise every node shows the job as running or queued until the
         # cancellation is confirmed, as that may take longer than a user may go without an answer.
         if self._unconfirmed(job) and not self._membership.all_support(c.FORMAT_FRESHNESS):
-            return answer(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
         return self._state_answer(200, self._state(job), logging.DEBUG)
 
     def _state_answer(self, status: int, state: m.State, level: int) -> Response:
         """The answer with a job's state, which is also written to the decision log."""
         reason = f"{status} {state.state}"
         self._decisions.write(Decision(Action.ANSWER, reason, state.id), level)
-        return answer(status, state)
+        return json_response(status, state)
 
     def _unconfirmed(self, job: Job) -> bool:
         """Whether the job is cancelled but must not be shown so yet.
@@ -298,7 +300,7 @@
     async def cancel(self, job_id: str) -> Response:
         job = await self._current_job(job_id)
         if job is None or job.record is None:
-            return answer(404, {"error": "no such job"})
+            return json_response(404, {"error": "no such job"})
         if job.is_open:
             if (reply := self._overload_answer()) is not None:
                 return reply
@@ -309,7 +311,7 @@
         if self._unconfirmed(job) and await self._partition_policy.wait_until_confirmable(job):
             await self._confirm_cancellation(job)
         if not self._is_final(job):
-            return answer(503, {"error": "try again"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "try again"}, c.RETRY_AFTER_S)
         state = "cancelled" if job.is_cancelled else "done"
         return self._state_answer(200, m.State(job_id, state), logging.INFO)
 
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -10,7 +10,7 @@
 from pulleydeal import rules
 from pulleydeal.clock import Clock
 from pulleydeal.membership.service import Membership
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store import records as r
 from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.reasons import MACHINE_RETURNED
@@ -37,7 +37,7 @@
         self,
         membership: Membership,
         store: Store,
-        times: WorkerTimes,
+        times: WorkerTimings,
         clock: Clock,
         machines: dict[str, TrackedMachine],
         commander: Commander,
--- a/pulleydeal/workers/exits.py
+++ b/pulleydeal/workers/exits.py
@@ -61,7 +61,7 @@
                 seq=tracked.seq,
             )
         )
-        self._metrics.stops.labels(task_exit.outcome).inc()
+        self._metrics.attempt_ends.labels(task_exit.outcome).inc()
         future = self._store.change_job(
             task_exit.job,
             partial(self._apply_if_proved, tracked, task_exit),
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -6,7 +6,7 @@
 from pulleydeal import constants as c
 from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Withdrawn
+from pulleydeal.http import Client, NoResponse, RequestWithdrawn
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order, WithdrawalReason
 from pulleydeal.workers.incarnation import KnownState, known_state
@@ -140,9 +140,9 @@
         client = self._client(tracked.addr)
         try:
             status, reply = await client.request("POST", "/orders", body, timeout_s, may_send)
-        except Withdrawn:
+        except RequestWithdrawn:
             raise _OrderWithdrawn(reasons[0]) from None
-        except NoAnswer as error:
+        except NoResponse as error:
             outcome = Outcome.UNANSWERED if error.sent else Outcome.NOT_SENT
             return OrderResult(outcome, reason=str(error)), before
         return read_answer(order, status, reply), before
--- a/pulleydeal/workers/outcomes.py
+++ b/pulleydeal/workers/outcomes.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from pulleydeal.http import MALFORMED
+from pulleydeal.http import DECODE_ERRORS
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order
 
@@ -52,7 +52,7 @@
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=f"status {status}")
     try:
         report = m.REPORT.decode(body)
-    except MALFORMED:
+    except DECODE_ERRORS:
         return OrderResult(Outcome.NOT_UNDERSTOOD, reason=f"status {status} without a report")
     if report.machine != order.machine.id:
         reason = "another machine's report"
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -13,12 +13,12 @@
 from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
 from pulleydeal.decisions import Action, Decision, DecisionLog
-from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.http import DECODE_ERRORS, Request, Response, json_response
 from pulleydeal.membership import freshness
 from pulleydeal.membership import view as views
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store.service import Store
 from pulleydeal.workers import incarnation, task_log
 from pulleydeal.workers import messages as m
@@ -59,7 +59,7 @@
         self,
         membership: Membership,
         store: Store,
-        times: WorkerTimes,
+        times: WorkerTimings,
         clock: Clock,
         metrics: Metrics,
         machines: dict[str, TrackedMachine],
@@ -209,26 +209,26 @@
     async def checkin(self, request: Request) -> Response:
         try:
             report = m.REPORT.decode(request.body)
-        except MALFORMED as error:
-            return answer(400, {"error": str(error)})
+        except DECODE_ERRORS as error:
+            return json_response(400, {"error": str(error)})
         if not self._replica.loaded or not self._membership.is_member:
-            return answer(503, {"error": "not ready"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "not ready"}, c.RETRY_AFTER_S)
         owner = self._membership.owner(report.machine, report.zone)
         if owner != self._membership.me:
             if self._partition_policy.renews_for_owner(report):
-                return answer(200, m.commands(report.token, []))
-            return answer(421, m.redirect(owner))
+                return json_response(200, m.commands(report.token, []))
+            return json_response(421, m.redirect(owner))
         if not self._may_renew_lease(report.zone):
-            return answer(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
         record = self._replica.machines.get(report.machine)
         if record is not None and record.record.state == "gone":
-            return answer(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
         tracked = self.machines.get(report.machine)
         if tracked is None:
             tracked = self._track_first_report(report, fence=int(record is None))
         if report.token > self.commander.token(tracked):
             # An owner with a newer view commands the machine; this node's view is outdated.
-            return answer(421, m.redirect(""))
+            return json_response(421, m.redirect(""))
         if incarnation.is_ambiguous(tracked, report, self._clock.now()):
             self.commander.probe(tracked)
             return self._command_response(tracked, [])
@@ -244,7 +244,7 @@
 
     def _command_response(self, tracked: TrackedMachine, calls: list[dict[str, Any]]) -> Response:
         body = msgspec.json.encode(m.commands(self.commander.token(tracked), calls))
-        return Response(200, body, written=lambda: self._on_answered(tracked))
+        return Response(200, body, on_send=lambda: self._on_answered(tracked))
 
     def _on_answered(self, tracked: TrackedMachine) -> None:
         tracked.last_answer_at = self._clock.now()
--- a/pulleydeal/zones/deafness.py
+++ b/pulleydeal/zones/deafness.py
@@ -5,7 +5,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal.features.context import FeatureContext
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from pulleydeal.workers.reachability import SilenceCounts, count_silent
 from pulleydeal.zones import constants as z
 from pulleydeal.zones import losses
@@ -81,7 +81,7 @@
         client = Client(addr, self._context.clock)
         try:
             status, _ = await client.request("GET", "/inspect", None, c.PROBE_TIMEOUT_S)
-        except NoAnswer:
+        except NoResponse:
             return False
         finally:
             client.close()
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 
 Started = Callable[[str, dict[str, Any], str, bool], Any]  # block, type, yard, loaners
 
@@ -52,18 +52,18 @@
 
     async def handle(self, request: Request) -> Response:
         if self.down:
-            return answer(503, {"error": "trouble"})
+            return json_response(503, {"error": "trouble"})
         await asyncio.sleep(0.25)
         url = urlsplit(request.path)
         if url.path == "/catalog":
-            return answer(200, {"rig_models": list(self._types.values())})
+            return json_response(200, {"rig_models": list(self._types.values())})
         if url.path == "/rentals" and request.method == "GET":
             return self._list({k: v[0] for k, v in parse_qs(url.query).items()})
         body = json.loads(request.body)
         if url.path == "/rentals/return":
             for block in body["blocks"]:
                 self.remove(block)
-            return answer(200, {})
+            return json_response(200, {})
         return self._rent(body)
 
     def remove(self, block: str) -> None:
@@ -82,19 +82,19 @@
         shown = next((s for at, s in reversed(self._history) if at <= then), [])
         after, limit = query.get("after", ""), int(query.get("limit", 500))
         rest = [b for b in shown if b["name_id"] > after]
-        return answer(200, {"blocks": rest[:limit], "truncated": len(rest) > limit})
+        return json_response(200, {"blocks": rest[:limit], "truncated": len(rest) > limit})
 
     def _rent(self, body: dict[str, Any]) -> Response:
         if body["hire"] in self._answers:
-            return answer(200, {"blocks": self._answers[body["hire"]]})
+            return json_response(200, {"blocks": self._answers[body["hire"]]})
         place = (body["yard"], body["loaners"])
         count = min(body["count"], self.capacity.get(place, 0))
         if count == 0:
-            return answer(503, {"error": "no capacity"})
+            return json_response(503, {"error": "no capacity"})
         self.capacity[place] -= count
         names = [self.add(body["rig_model"], *place) for _ in range(count)]
         self._answers[body["hire"]] = names
-        return answer(200, {"blocks": names})
+        return json_response(200, {"blocks": names})
 
     def add(self, type_: str, yard: str, loaners: bool) -> str:
         block = f"vm-{self._serial + 1:06d}"
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
+from pulleydeal.http import Client, NoResponse, Request, Response, Server, json_response
 from pulleydeal.store import records as r
 from pulleydeal.submissions.messages import as_submission
 
@@ -73,7 +73,7 @@
             self.served += 1
         status = 200 if good else 500
         self.answered[status] = self.answered.get(status, 0) + 1
-        return answer(status, {"image": self.image})
+        return json_response(status, {"image": self.image})
 
     async def run(self) -> None:
         self.began = self.clock.now()
@@ -107,7 +107,7 @@
                     at, wait = reply["leader"], 0.1
                 else:
                     at, wait = names[(names.index(at) + 1) % len(names)], 0.5
-            except (NoAnswer, ValueError):
+            except (NoResponse, ValueError):
                 at, wait = names[(names.index(at) + 1) % len(names)], 0.5
             finally:
                 client.close()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.town import Town, TownError, job
 
 FIRST_PORT = 8080
@@ -38,7 +38,7 @@
     for turn in range(60):
         address = list(town.nodes.values())[turn % len(town.nodes)]
         client = Client(address, town.clock)
-        with contextlib.suppress(NoAnswer):
+        with contextlib.suppress(NoResponse):
             status, reply = await client.request("POST", "/submissions", body, 5.0)
             client.close()
             if status in (200, 201):
@@ -52,7 +52,7 @@
 async def state(town: Town, name: str) -> dict[str, object]:
     for address in town.nodes.values():
         client = Client(address, town.clock)
-        with contextlib.suppress(NoAnswer):
+        with contextlib.suppress(NoResponse):
             status, reply = await client.request("GET", f"/submissions/{name}", None, 2.0)
             client.close()
             if status == 200:
--- a/standins/scenario.py
+++ b/standins/scenario.py
@@ -17,7 +17,7 @@
 from pulleydeal.app import App
 from pulleydeal.constants import CHUNK_TASKS
 from pulleydeal.features.settings import Features, JournalSettings
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from pulleydeal.settings import Settings
 from standins.acceptance import LOOK_S, Waits, unserved
 from standins.cloud import CloudService
@@ -202,7 +202,7 @@
         async def send() -> None:
             await asyncio.sleep(seconds)
             client = Client(f"{address}:8080", self._clock)
-            with contextlib.suppress(NoAnswer):
+            with contextlib.suppress(NoResponse):
                 await client.request("POST", path, body, 5.0)
             client.close()
 
--- a/standins/services.py
+++ b/standins/services.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.copies import Copies
 
 TRIES = 3  # a consumer asks so many copies before it gives up
@@ -53,7 +53,7 @@
             client = Client(self.addresses[name], self._clock)
             try:
                 status, raw = await client.send(method, path, text.encode(), 5.0)
-            except NoAnswer:
+            except NoResponse:
                 status, raw = 0, b"{}"
             client.close()
             if status in (200, 400, 404, 409, 422):
@@ -83,7 +83,7 @@
             client = Client(self._nodes[name], self._clock)
             try:
                 status, raw = await client.request("GET", path, None, 7.0)
-            except NoAnswer:
+            except NoResponse:
                 status, raw = 0, b""
             client.close()
             if status == 200:
@@ -111,7 +111,7 @@
             try:
                 status, _ = await client.request("GET", "/work", None, PATIENCE_S)
                 word = str(status)
-            except NoAnswer:
+            except NoResponse:
                 word = "none"
                 self._silent[address] = self._clock.now()
             client.close()
--- a/standins/state.py
+++ b/standins/state.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from standins.net import CALLER
 
 KEPT_CHANGES = 10_000
@@ -140,12 +140,12 @@
 
     async def handle(self, request: Request) -> Response:
         if self._away() and not request.path.startswith("/watch"):
-            return answer(503, {"error": "outage"})
+            return json_response(503, {"error": "outage"})
         if self.slow_s:
             await asyncio.sleep(self._rng.uniform(0.0, self.slow_s))
         if self._asked_too_fast():
             self.counts["refused requests"] += 1
-            return answer(429, {"error": "too many requests"})
+            return json_response(429, {"error": "too many requests"})
         url = urlsplit(request.path)
         self.counts[url.path.split("/")[1]] += 1
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
@@ -160,9 +160,9 @@
             return self._page(query)
         key = url.path.removeprefix("/store/")
         if key not in self.keys:
-            return answer(404, {"ledger": self.ledger})
+            return json_response(404, {"ledger": self.ledger})
         data, mark, charter = self.keys[key]
-        return answer(200, {"k": key, "data": data, "mark": mark, "charter": charter})
+        return json_response(200, {"k": key, "data": data, "mark": mark, "charter": charter})
 
     def _away(self) -> bool:
         """For everybody, or for the node that asks."""
@@ -204,29 +204,29 @@
 
     def _transact(self, body: dict[str, Any]) -> Response:
         if self.down:
-            return answer(503, {"error": "outage"})
+            return json_response(503, {"error": "outage"})
         changes = body.get("apply", [])
         over = self._over(body)
         if over:
             self.too_large.append(over)
-            return answer(400, {"error": f"too large: {over}"})
+            return json_response(400, {"error": f"too large: {over}"})
         if changes and self._too_fast(len(changes)):
             self.counts["refused writes"] += 1
-            return answer(429, {"error": "too many changes"})
+            return json_response(429, {"error": "too many changes"})
         for change in changes:
             if change.get("charter") is not None and change["charter"] not in self._holds:
-                return answer(400, {"error": "no such lease"})
+                return json_response(400, {"error": "no such lease"})
         failed = [
             check["k"]
             for check in body.get("if", [])
             if (self.keys[check["k"]][1] if check["k"] in self.keys else 0) != check["mark"]
         ]
         if failed:
-            return answer(409, {"failed": failed, "ledger": self.ledger})
+            return json_response(409, {"failed": failed, "ledger": self.ledger})
         if changes:
             self._apply(changes)
             self.counts["changes"] += len(changes)
-        return answer(200, {"ledger": self.ledger})
+        return json_response(200, {"ledger": self.ledger})
 
     def _page(self, query: dict[str, str]) -> Response:
         if self._sorted is None:
@@ -241,7 +241,7 @@
             {"k": k, "data": self.keys[k][0], "mark": self.keys[k][1]} for k in names[:limit]
         ]
         more = len(names) > limit
-        reply = answer(200, {"entries": entries, "truncated": more, "ledger": self.ledger})
+        reply = json_response(200, {"entries": entries, "truncated": more, "ledger": self.ledger})
         self.counts["page bytes"] += len(reply.body)
         return reply
 
@@ -255,7 +255,7 @@
             if not away:
                 ledger = self.ledger
             elif self.watches_end and loop.time() >= until:
-                return answer(200, {"ledger": ledger, "events": []})
+                return json_response(200, {"ledger": ledger, "events": []})
             if not away:
                 if (
                     self._log
@@ -263,7 +263,7 @@
                     and self._log[0]["mark"] > after + 1
                 ):
                     self.counts["watches too old"] += 1
-                    return answer(410, {})
+                    return json_response(410, {})
                 first = bisect_right(self._log, after, key=lambda event: int(event["mark"]))
                 events = [
                     e
@@ -271,7 +271,7 @@
                     if e.get("set", e.get("drop")).startswith(query["under"])
                 ]
                 if events or loop.time() >= until:
-                    reply = answer(200, {"ledger": self.ledger, "events": events})
+                    reply = json_response(200, {"ledger": self.ledger, "events": events})
                     self.counts["watched events"] += len(events)
                     self.counts["watch bytes"] += len(reply.body)
                     return reply
@@ -289,15 +289,15 @@
             ttl = body["ttl_ms"] / 1000
             charter = max(self._holds, default=0) + 1
             self._holds[charter] = [now + ttl, ttl]
-            return answer(200, {"charter": charter})
+            return json_response(200, {"charter": charter})
         charter = int(parts[1])
         if charter not in self._holds:
-            return answer(404, {})
+            return json_response(404, {})
         if method == "DELETE":
             self._end(charter)
         else:
             self._holds[charter][0] = now + self._holds[charter][1]
-        return answer(200, {"charter": charter})
+        return json_response(200, {"charter": charter})
 
 
 async def loop_forever() -> None:
--- a/standins/town.py
+++ b/standins/town.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from pulleydeal.clock import SystemClock
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.cloud import CloudService
 from standins.copies import Copies, look_up
 from standins.rules import Rules
@@ -196,7 +196,7 @@
         client = Client(self.nodes[name], self.clock)
         try:
             while self.now() - began < self.up_s and name not in self.ended:
-                with contextlib.suppress(NoAnswer):
+                with contextlib.suppress(NoResponse):
                     if (await client.request("GET", "/up", None, 1.0))[0] == 200:
                         return self.now() - began
                 await asyncio.sleep(0.05)
--- a/standins/users.py
+++ b/standins/users.py
@@ -4,7 +4,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins import odd
 from standins.net import on_host
 from standins.script import row
@@ -40,7 +40,7 @@
         client = Client(f"{self._nodes[node]}:8080", self._clock)
         try:
             status, reply = await client.request(method, path, body, 5.0)
-        except NoAnswer:
+        except NoResponse:
             status, reply = 0, b""
         client.close()
         state = json.loads(reply).get("tension", "") if reply else ""
@@ -192,7 +192,7 @@
             client = Client(f"{self._nodes[node]}:8080", self._clock)
             try:
                 status, _ = await client.request("POST", "/submissions", body, 5.0)
-            except NoAnswer:
+            except NoResponse:
                 status = 0
             client.close()
             self.rules.told(job, status, "queued", self._world.results)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
+from pulleydeal.http import Client, NoResponse, Request, Response, Server, json_response
 from standins.gangs import Gangs
 from standins.net import LINK
 from standins.rules import Rules
@@ -167,7 +167,7 @@
                 self.reports += 1
                 self.report_bytes += len(payload)
                 self.answer_bytes += len(body)
-            except NoAnswer:
+            except NoResponse:
                 status, reply = 0, {}
             if self._clock.now() - sent > ANSWER_S:
                 status = 0  # it came while the machine hung
@@ -198,7 +198,7 @@
     async def _again(self, report: dict[str, Any], node: str) -> None:
         await asyncio.sleep(self._rng.uniform(2.0, LATE_MOST_S))
         client = Client(self._nodes[node], self._clock)
-        with contextlib.suppress(NoAnswer):
+        with contextlib.suppress(NoResponse):
             await client.request("POST", "/checkin", report, 4.0)
         client.close()
 
@@ -206,26 +206,26 @@
         if not self.reachable:
             await asyncio.get_running_loop().create_future()  # never answers
         if request.path == "/inspect":
-            return answer(200, self.report())
+            return json_response(200, self.report())
         self.orders += 1
         wrong = self.wrong_answers.draw()
         if wrong is None:
             return self._obey(request)
-        right = self._obey(request) if wrong.executes else answer(200, self.report())
+        right = self._obey(request) if wrong.executes else json_response(200, self.report())
         return wrong.spoil(right)
 
     def _obey(self, request: Request) -> Response:
         body = json.loads(request.body)
         if "whistle" not in body or "shift" not in body:
-            return answer(400, {})
+            return json_response(400, {})
         if body["whistle"] < self.whistle or body["shift"] != self.shift:
-            return answer(409, self.report())
+            return json_response(409, self.report())
         if body["whistle"] > self.whistle:
             self.whistle = body["whistle"]
         link = LINK.get(None)
         self.execute(body["calls"], link.sent_at if link is not None else self._clock.now())
         self._soon.set()
-        return answer(200, self.report())
+        return json_response(200, self.report())
 
     # --- commands ---------------------------------------------------------------------------
     def execute(self, calls: list[dict[str, Any]], ordered_at: float) -> None:
--- a/standins/wrong_answers.py
+++ b/standins/wrong_answers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from pulleydeal.http import Response, answer
+from pulleydeal.http import Response, json_response
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 def _of_another_machine(right: Response) -> Response:
-    return answer(right.status, json.loads(right.body) | {"block": "vm-999999"})
+    return json_response(right.status, json.loads(right.body) | {"block": "vm-999999"})
 
 
 def _refused_with_nonsense(_: Response) -> Response:
@@ -36,7 +36,7 @@
 
 
 def _failed(_: Response) -> Response:
-    return answer(500, {"error": "internal"})
+    return json_response(500, {"error": "internal"})
 
 
 WRONG_ANSWERS = {
--- a/tests/production.py
+++ b/tests/production.py
@@ -106,13 +106,13 @@
 }
 
 
-def reads(key: str, value: bytes) -> object:
+def decode_record(key: str, value: bytes) -> object:
     """Decodes a record as production does; returns None for kinds that it does not know."""
     kind = key.removeprefix("p/").partition("/")[0]
     return msgspec.json.decode(value, type=KINDS[kind]) if kind in KINDS else None
 
 
-def trace(path: Path) -> tuple[dict[str, bytes], dict[str, bytes]]:
+def read_trace(path: Path) -> tuple[dict[str, bytes], dict[str, bytes]]:
     """Reads the records and messages of a stored trace."""
     records, messages = {}, {}
     for line in path.read_text().splitlines():
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -12,7 +12,7 @@
 from pulleydeal.fleet.cloud import CloudError
 from pulleydeal.fleet.cloud import _decode as understood_cloud
 from pulleydeal.fleet.messages import CATALOG_DECODER, LISTING_DECODER
-from pulleydeal.http import MALFORMED, Client, Request, Response, Server, answer
+from pulleydeal.http import DECODE_ERRORS, Client, Request, Response, Server, json_response
 from pulleydeal.settings import SettingsError, Team, load
 from pulleydeal.store import records as r
 from pulleydeal.store.client import OutcomeUnknown
@@ -105,7 +105,7 @@
 
 async def exchange(raw: bytes, handler: object = None) -> bytes:
     async def echo(request: Request) -> Response:
-        return answer(200, {"size": len(request.body)})
+        return json_response(200, {"size": len(request.body)})
 
     server = Server(handler or echo, 4)  # type: ignore[arg-type]
     listening = await asyncio.start_server(server._connection, "127.0.0.1", 0)
@@ -144,7 +144,7 @@
         CHANGES,
         REVISION,
     ):
-        with pytest.raises(MALFORMED):
+        with pytest.raises(DECODE_ERRORS):
             decoder.decode(nested)
     with pytest.raises(OutcomeUnknown):
         understood_state(PAGE, nested)
@@ -164,7 +164,7 @@
 def test_a_connection_serves_several_requests() -> None:
     async def run() -> list[int]:
         async def path_of(request: Request) -> Response:
-            return answer(200, {"path": request.path})
+            return json_response(200, {"path": request.path})
 
         server = Server(path_of, 4)
         listening = await asyncio.start_server(server._connection, "127.0.0.1", 0)
@@ -187,9 +187,9 @@
         async def handler(request: Request) -> Response:
             if request.path.startswith("/submissions"):
                 await release.wait()
-            return answer(200, {})
+            return json_response(200, {})
 
-        server = Server(handler, limit, crowd="/submissions")
+        server = Server(handler, limit, throttled_prefix="/submissions")
         listening = await asyncio.start_server(server._connection, "127.0.0.1", 0)
         address = f"127.0.0.1:{listening.sockets[0].getsockname()[1]}"
         clients = [Client(address, SystemClock()) for _ in range(users + 1)]
@@ -197,7 +197,7 @@
             asyncio.ensure_future(x.request("GET", "/submissions/j-1", None, 60.0))
             for x in clients[:users]
         ]
-        while sum(task.done() for task in requests) + server._crowd_busy < users:
+        while sum(task.done() for task in requests) + server._throttled_active < users:
             await asyncio.sleep(0.001)
         refused = [task.result() for task in requests if task.done()]
         others = [
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -12,7 +12,7 @@
 from pulleydeal import constants as c
 from pulleydeal import timeline
 from pulleydeal.cli import main
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import CommandAuthority, Order, WithdrawalReason, withdrawal_reason
@@ -69,7 +69,7 @@
     async def handle(self, request: Request) -> Response:
         self.bodies.append(request.body)
         await asyncio.sleep(self.delay_s)
-        return answer(409, {})
+        return json_response(409, {})
 
 
 class VirtualTimeNode(SlowStoreNode):
@@ -185,7 +185,7 @@
         self.max_concurrent = max(self.max_concurrent, self.concurrent)
         await super().handle(request)
         self.concurrent -= 1
-        return answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body))
+        return json_response(409, msgspec.json.decode(checkin_request("vm-1", 2).body))
 
 
 def test_machine_has_one_order_at_a_time_when_an_answer_triggers_a_probe() -> None:
--- a/tests/test_cron_engine.py
+++ b/tests/test_cron_engine.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from pulleydeal.features.routes import Problem
+from pulleydeal.features.routes import ApiError
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import crontab
 from pulleydeal.recurring import state as st
@@ -110,7 +110,7 @@
         plans = [await n.recurring.interface.imports.plan("office", MAPPING) for n in (a, b)]
         assert plans[0].version == plans[1].version
         await a.recurring.interface.imports.carry_out("office", plans[0])
-        with pytest.raises(Problem) as caught:
+        with pytest.raises(ApiError) as caught:
             # It read before the other wrote: nothing is half taken.
             await b.recurring.interface.imports.carry_out("office", plans[1])
         assert caught.value.code == "moved"
@@ -131,7 +131,7 @@
         node.follow()
         before = world.revision
         node.recurring.interface.imports.upload("big", 0, ("\n".join(lines) + "\n").encode())
-        with pytest.raises(Problem) as caught:
+        with pytest.raises(ApiError) as caught:
             await node.recurring.interface.imports.plan("big", MAPPING)
         assert caught.value.status == 422 and caught.value.message.startswith("7771:1: ")
         assert len(caught.value.message.splitlines()) == 1
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -18,7 +18,7 @@
 from pulleydeal.cli import main
 from pulleydeal.features import constants as fc
 from pulleydeal.features.records import Records
-from pulleydeal.features.routes import Asked, Problem, Route, Table, page
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, RouteTable, paginate
 from pulleydeal.features.settings import Features, FeaturesError, OperatorsSettings, load
 from pulleydeal.http import Request
 from pulleydeal.operators.service import Operators
@@ -81,15 +81,15 @@
 
 
 # --- the operators' interface ----------------------------------------------------------------
-def get(table: Table, target: str, method: str = "GET") -> tuple[Route, Asked]:
+def get(table: RouteTable, target: str, method: str = "GET") -> tuple[Route, RoutedRequest]:
     return table.find(method, target, b"", "r-1")
 
 
-async def _echo_params(asked: Asked) -> Any:
-    return asked.params
+async def _echo_params(request: RoutedRequest) -> Any:
+    return request.params
 
 
-TABLE = Table(
+TABLE = RouteTable(
     [
         Route("GET", "/v1/jobs", "", _echo_params, ("limit",)),
         Route("GET", "/v1/jobs/{job}", "", _echo_params),
@@ -105,7 +105,7 @@
         ("/v1/jobs/j-1/stop", "GET", 405),
         ("/v1/jobs?after=x", "GET", 400),
     ]:
-        with pytest.raises(Problem) as caught:
+        with pytest.raises(ApiError) as caught:
             get(TABLE, target, method)
         assert caught.value.status == status and caught.value.message
 
@@ -115,16 +115,16 @@
     seen: list[str] = []
     after = ""
     while True:
-        asked = Asked({}, {"limit": "200", "after": after}, b"", "")
-        found = page(asked, reversed(names), str)
+        request = RoutedRequest({}, {"limit": "200", "after": after}, b"", "")
+        found = paginate(request, reversed(names), str)
         seen += found["items"]
         if found["next"] is None:
             break
         after = found["next"]
     assert seen == names
     for bad in ("0", "-1", "x", "1e3", str(fc.MAX_PAGE_SIZE + 1), "9" * 400, "²"):
-        with pytest.raises(Problem):
-            page(Asked({}, {"limit": bad}, b"", ""), names, str)
+        with pytest.raises(ApiError):
+            paginate(RoutedRequest({}, {"limit": bad}, b"", ""), names, str)
 
 
 def make_app(features: Features) -> App:
@@ -153,7 +153,7 @@
 def ask(node: App, path: str) -> tuple[int, Any, dict[str, str]]:
     feature = node.features[0]
     assert isinstance(feature, Operators)
-    feature._table = Table(feature._collect_routes())
+    feature._table = RouteTable(feature._collect_routes())
     reply = asyncio.run(feature.handle(Request("GET", path, b"")))
     return reply.status, json.loads(reply.body), dict(reply.headers)
 
@@ -194,7 +194,7 @@
 
     put(r.feature_key("trial", "a/b"), {"x": 1}, 6)
     put(r.feature_key("other", "a"), {"x": 2}, 7)
-    assert list(records.names()) == ["a/b"] and records.mark("a/b") == 6
+    assert list(records.names()) == ["a/b"] and records.version("a/b") == 6
     assert records.get("a/b", dict) == {"x": 1} and records.get("none", dict) is None
     replica.end_load(7)
     node.membership.ensure_new_incarnation()
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -11,7 +11,7 @@
 from experiments.scale_run import Users
 from pulleydeal import constants as c
 from pulleydeal.clock import SystemClock
-from pulleydeal.http import Client, Request, Response, Server, answer
+from pulleydeal.http import Client, Request, Response, Server, json_response
 from pulleydeal.lateness import LoopLag, Precedence
 from standins.town import LOCAL, free_port, job
 
@@ -45,7 +45,7 @@
 
     async def slow_handler(_: Request) -> Response:
         await release.wait()
-        return answer(200, {})
+        return json_response(200, {})
 
     async def ask(address: str, path: str) -> int:
         client = Client(address, SystemClock())
--- a/tests/test_order_answers.py
+++ b/tests/test_order_answers.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pulleydeal.http import Request, Response, answer
+from pulleydeal.http import Request, Response, json_response
 from tests.test_commands import no_change, run_order
 
 
@@ -31,7 +31,7 @@
 ANSWERS = {
     "200 and nonsense": lambda: Response(200, b"[[["),
     "200 and another machine's report": report_of_another_machine,
-    "500": lambda: answer(500, {"error": "internal"}),
+    "500": lambda: json_response(500, {"error": "internal"}),
 }
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -79,7 +79,7 @@
 ) -> None:
     policy = load(tmp_path / "none.txt")
     assert all(
-        policy.value(name, {}) == (s.default or 0.0) and not policy.decides(name)
+        policy.value(name, {}) == (s.default or 0.0) and not policy.has_expression(name)
         for name, s in SETTINGS.items()
     )
     assert isinstance(policy, Policy)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,7 +26,7 @@
 from pulleydeal.workers.changes import apply_exit, apply_stop
 from pulleydeal.workers.tracked_machine import Exit
 
-RECORDS, MESSAGES = production.trace(Path(__file__).parent / "traces" / "production.txt")
+RECORDS, MESSAGES = production.read_trace(Path(__file__).parent / "traces" / "production.txt")
 SMALL = effective_limits(StateLimits(200.0, 80.0, 8.0, 24, NextLimits(56.0, 2.0, 8)))
 
 
@@ -109,12 +109,12 @@
     stored.written |= {k: msgspec.json.encode(v) for k, v in added.items()}
     assert len(stored.written) > 12
     for key, value in stored.written.items():
-        production.reads(key, value)
-    waits = production.reads("p/j/j-20", stored.written["p/j/j-20"])
+        production.decode_record(key, value)
+    waits = production.decode_record("p/j/j-20", stored.written["p/j/j-20"])
     # Production drops fields that it does not know, so such jobs are only accepted once no node
     # runs an older version.
     assert b"waits_on" not in msgspec.json.encode(waits)
-    assert production.reads("p/t/0001", stored.written["p/t/0001"]) is None
+    assert production.decode_record("p/t/0001", stored.written["p/t/0001"]) is None
 
 
 def test_oversized_chunks_with_reasons_shrink_with_their_next_write() -> None:
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,7 +7,7 @@
 
 from pulleydeal.http import Request
 from pulleydeal.metrics import Metrics
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
@@ -56,7 +56,9 @@
 
 
 def make_workers(node: Any) -> Workers:
-    times = WorkerTimes(report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34)
+    times = WorkerTimings(
+        report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34
+    )
     return Workers(node, node, times, node, Metrics(), {}, PartitionPolicy())
 
 
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -26,7 +26,7 @@
 from experiments.answers import played
 from pulleydeal import constants as c
 from pulleydeal.fleet.cloud import Cloud, CloudError
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import records as r
 from pulleydeal.store.client import OutcomeUnknown, RequestRejected, StateClient, Unavailable
@@ -103,7 +103,7 @@
 
 def test_start_of_unknown_outcome_is_settled_by_a_report_with_a_higher_token() -> None:
     """As after an unanswered order: a report with the raised token proves that it is fenced."""
-    workers = run_order(no_change, FixedReply(answer(500, {})))
+    workers = run_order(no_change, FixedReply(json_response(500, {})))
     tracked = workers.machines["vm-1"]
     fence = workers.commander.token(tracked)
     assert fence == (3 << 24) + 1
@@ -115,7 +115,8 @@
 def test_refusal_that_the_report_contradicts_proves_nothing() -> None:
     """The report has the order's token and session, so by PROTOCOL neither caused the refusal."""
     workers = run_order(
-        no_change, FixedReply(answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body)))
+        no_change,
+        FixedReply(json_response(409, msgspec.json.decode(checkin_request("vm-1", 2).body))),
     )
     assert workers.machines["vm-1"].sent[START].fence is not None
 
@@ -147,14 +148,16 @@
     with a raised fence. The log repeats "invalid answer to an order: status 200 and a report that
     contradicts it (1 times)". Bound: probed again at once, then only by `Eviction.run_round`.
     """
-    stale = answer(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
+    stale = json_response(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
     target = FixedReply(stale)
     run_order(no_change, target)
     assert len(target.bodies) <= 2
 
 
 def test_refused_start_is_forgotten() -> None:
-    newer = answer(409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body))
+    newer = json_response(
+        409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body)
+    )
     workers = run_order(no_change, FixedReply(newer))
     assert START not in workers.machines["vm-1"].sent
 
@@ -200,7 +203,7 @@
     for reply, last_answer_invalid in (
         (Response(200, b"[[["), True),
         (Response(200, checkin_request("vm-1", 2).body), False),
-        (answer(500, {}), True),
+        (json_response(500, {}), True),
     ):
         workers = run_order(no_change, FixedReply(reply))
         assert workers.machines["vm-1"].last_answer_invalid is last_answer_invalid
@@ -269,7 +272,7 @@
     raised: list[Exception] = []
 
     async def handle(_: Request) -> Response:
-        return answer(status, {})
+        return json_response(status, {})
 
     async def work(clock: LoopClock) -> None:
         on_host(Host("10.2.0.1", ""), Server(handle, 10).start("10.2.0.1:80"))
