--- a/pulleydeal/features/switch.py
+++ b/pulleydeal/features/switch.py
@@ -1,37 +1,42 @@
-"""Starts what is switched on, and imports nothing else."""
+"""Builds the enabled features and imports no others."""
 
-from pulleydeal.features.context import Feature, FeatureContext, Service
+from pulleydeal.features.context import Feature, FeatureContext, NodeContext
 from pulleydeal.features.settings import Features
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 
-def keeping(features: Features, context: FeatureContext) -> tuple[Keeping, list[Feature]]:
-    """Who may renew, prove and tell; and the feature that says so, if one is on."""
+def create_partition_policy(
+    features: Features, context: FeatureContext
+) -> tuple[PartitionPolicy, list[Feature]]:
+    """The policy for renewing leases and for reporting cancellations, and the feature that provides
+    it, if enabled."""
     if features.zones is None:
-        return Keeping(), []
+        return PartitionPolicy(), []
     from pulleydeal.zones.service import Zones
 
     zones = Zones(context)
     return zones, [zones]
 
 
-def switched_on(features: Features, service: Service, found: list[Feature]) -> list[Feature]:
-    """The features that are on, those already `found` among them, in the order of their start."""
+def create_features(
+    features: Features, service: NodeContext, created: list[Feature]
+) -> list[Feature]:
+    """All enabled features in start order, beginning with those already in `created`."""
     if features.journal is not None:
         from pulleydeal.journal.feature import JournalFeature
 
-        found.append(JournalFeature(service, service.journal))
+        created.append(JournalFeature(service, service.journal))
     if features.operators is not None:
         from pulleydeal.operators.service import Operators
 
-        operators = Operators(features, service, lambda: [x for f in found for x in f.routes()])
-        found.append(operators)
+        operators = Operators(features, service, lambda: [x for f in created for x in f.routes()])
+        created.append(operators)
     if features.rollouts is not None:
         from pulleydeal.rollouts.service import Rollouts
 
-        found.append(Rollouts(service))
+        created.append(Rollouts(service))
     if features.recurring is not None:
         from pulleydeal.recurring.service import Recurring
 
-        found.append(Recurring(service))
-    return found
+        created.append(Recurring(service))
+    return created
--- a/pulleydeal/rollouts/decide.py
+++ b/pulleydeal/rollouts/decide.py
@@ -10,8 +10,7 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, STARTING, UNHEALTHY, UNKNOWN
 from pulleydeal.rollouts.description import Description
-from pulleydeal.rollouts.look import ServiceView
-from pulleydeal.rollouts.seen import (
+from pulleydeal.rollouts.model import (
     CopyStatus,
     Decision,
     Observation,
@@ -19,6 +18,7 @@
     slots_text,
     version_and_zone,
 )
+from pulleydeal.rollouts.service_view import ServiceView
 from pulleydeal.rollouts.state import Service, Slot
 
 # Removal order by state: the least useful copies go first.
--- a/pulleydeal/rollouts/description.py
+++ b/pulleydeal/rollouts/description.py
@@ -9,7 +9,7 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.settings import Team
 from pulleydeal.store import records as r
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9-]{0,39}$")]
 Text = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -148,7 +148,7 @@
 ) -> list[str]:
     """Requirements that this deployment can never meet: zones, machine types or team limits."""
     faults = [f"zones: unknown zone {zone!r}" for zone in d.zones or [] if zone not in zones]
-    reason = refusal(d.job("j-0", ""), teams, types, zones)
+    reason = rejection_reason(d.job("j-0", ""), teams, types, zones)
     if reason:
         return [*faults, f"copies: {reason}"]
     team = teams[d.team]
--- a/pulleydeal/rollouts/interface.py
+++ b/pulleydeal/rollouts/interface.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from pulleydeal.features.context import Handler
-from pulleydeal.features.routes import Asked, Problem, Route, page
-from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, paginate
+from pulleydeal.http import DECODE_ERRORS, Request, Response, json_response
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts import registry
 from pulleydeal.rollouts import state as st
 from pulleydeal.rollouts.description import Description, DescriptionError, deployment_faults, parse
-from pulleydeal.rollouts.seen import Decision, begin_rollout, clone_service
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.rollouts.model import Decision, begin_rollout, clone_service
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
         self._rollouts = rollouts
         self._change_events: dict[str, asyncio.Event] = {}
         self._held_polls = 0
-        rollouts.replica.listen(self._on_change)
+        rollouts.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         prefix = "rollouts/e/"
@@ -73,37 +73,39 @@
 
     # --- operators ----------------------------------------------------------------------------
     def _require_writable(self) -> None:
-        """Raises Problem 503 unless the state is loaded and every node has the feature on."""
+        """Raises ApiError 503 unless the state is loaded and every node has the feature on."""
         if not self._rollouts.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
+            raise ApiError(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
         if not self._rollouts.records.ready:
             missing = [
                 node
                 for node in self._rollouts.node.membership.nodes()
-                if not self._rollouts.replica.shown.get(node, {}).get("rollouts")
+                if not self._rollouts.replica.node_features.get(node, {}).get("rollouts")
             ]
             why = f" ({', '.join(missing)} has not)" if missing else ""
             text = f"not every node has shown that it has roll-outs on{why}"
-            raise Problem(503, "not_everywhere", text, rc.RETRY_AFTER_S)
+            raise ApiError(503, "not_everywhere", text, rc.RETRY_AFTER_S)
 
-    def _parse_description(self, asked: Asked) -> Description:
-        """Parses the body and checks it against this deployment; raises Problem for any fault."""
+    def _parse_description(self, request: RoutedRequest) -> Description:
+        """Parses the body and checks it against this deployment; raises ApiError for any fault."""
         node = self._rollouts.node
         try:
-            found = parse(asked.body.decode())
+            found = parse(request.body.decode())
         except UnicodeDecodeError as error:
-            raise Problem(400, "bad_description", f"not UTF-8: {error}") from error
+            raise ApiError(400, "bad_description", f"not UTF-8: {error}") from error
         except DescriptionError as error:
-            raise Problem(400, "bad_description", "\n".join(error.faults)) from error
+            raise ApiError(400, "bad_description", "\n".join(error.faults)) from error
         if not node.replica.types:
-            raise Problem(503, "not_ready", "the machine types are not known yet", rc.RETRY_AFTER_S)
+            raise ApiError(
+                503, "not_ready", "the machine types are not known yet", rc.RETRY_AFTER_S
+            )
         faults = deployment_faults(found, node.teams, node.replica.types, node.zones)
         size = self._max_record_size_b(found)
         most = node.store.limits.value_b
         if size > most:
             faults.append(f"copies: the records would take {size} B, of {most} B at most")
         if faults:
-            raise Problem(422, "never_runs", "\n".join(faults))
+            raise ApiError(422, "never_runs", "\n".join(faults))
         return found
 
     def _max_record_size_b(self, d: Description) -> int:
@@ -119,21 +121,21 @@
         values: list[object] = [service, ready, st.Version(d, 1e10)]
         return max(len(msgspec.json.encode(value)) for value in values)
 
-    async def _check(self, asked: Asked) -> Any:
-        d = self._parse_description(asked)
+    async def _check(self, request: RoutedRequest) -> Any:
+        d = self._parse_description(request)
         steps = ", ".join(str(n) for n in d.step_targets)
         summary = f"{d.copies} copies in steps of {steps}; never under {d.min_healthy} healthy"
         return {"service": d.name, "steps": d.step_targets, "floor": d.min_healthy, "says": summary}
 
-    async def _start(self, asked: Asked) -> Any:
+    async def _start(self, request: RoutedRequest) -> Any:
         self._require_writable()
-        d = self._parse_description(asked)
+        d = self._parse_description(request)
         key = st.service_record_name(d.name)
         service = self._rollouts.service(d.name) or st.Service()
         if service.rollout is not None:
             to = service.rollout.to
             text = f"roll-out {service.rollout.number} to version {to} is under way: abort it first"
-            raise Problem(409, "under_way", text)
+            raise ApiError(409, "under_way", text)
         good = self._rollouts.version(d.name, service.good)
         if good is not None and good.description == d and not service.removed:
             return {"service": d.name, "version": service.good, "says": "serves already"}
@@ -150,17 +152,17 @@
             name = st.version_record_name(d.name, old)
             if (
                 old not in used
-                and self._rollouts.records.mark(name)
+                and self._rollouts.records.version(name)
                 and len(drops) < rc.MAX_BATCH_COPIES
             ):
                 drops.append(name)
-        await self._commit({key: self._rollouts.records.mark(key)}, puts, drops)
+        await self._commit({key: self._rollouts.records.version(key)}, puts, drops)
         return {"service": d.name, "version": number, "rollout": decision.service.rollouts}
 
     def _check_team(self, d: Description, service: st.Service, good: st.Version | None) -> None:
         """Rejects a change of team: a roll-back might then exceed the limit of the other team."""
         if good is not None and good.description.team != d.team:
-            raise Problem(
+            raise ApiError(
                 422,
                 "other_team",
                 f"team: {service.good} runs as {good.description.team}; a service that changes"
@@ -174,23 +176,23 @@
             if await self._rollouts.records.commit(read_versions, puts, drops):
                 return
         except TooLarge as error:
-            raise Problem(422, "too_large", str(error)) from error
-        except (Unavailable, Unknown, TimeoutError) as error:
+            raise ApiError(422, "too_large", str(error)) from error
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             text = "the state service can't be asked"
-            raise Problem(503, "unavailable", text, rc.RETRY_AFTER_S) from error
-        raise Problem(409, "moved", "it changed meanwhile: look, and ask again")
+            raise ApiError(503, "unavailable", text, rc.RETRY_AFTER_S) from error
+        raise ApiError(409, "moved", "it changed meanwhile: look, and ask again")
 
-    def _find_service(self, asked: Asked) -> tuple[str, st.Service]:
-        name = asked.params["service"]
+    def _find_service(self, request: RoutedRequest) -> tuple[str, st.Service]:
+        name = request.params["service"]
         if not self._rollouts.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
+            raise ApiError(503, "not_ready", "the state is still being read", rc.RETRY_AFTER_S)
         service = self._rollouts.service(name)
         if service is None:
-            raise Problem(404, "no_such_service", f"no service {name!r}")
+            raise ApiError(404, "no_such_service", f"no service {name!r}")
         return name, service
 
-    async def _list(self, asked: Asked) -> Any:
-        return page(asked, self._rollouts.names(), self._summary)
+    async def _list(self, request: RoutedRequest) -> Any:
+        return paginate(request, self._rollouts.names(), self._summary)
 
     def _summary(self, name: str) -> dict[str, Any]:
         service = self._rollouts.service(name)
@@ -207,8 +209,8 @@
             "ready": ready,
         }
 
-    async def _show(self, asked: Asked) -> Any:
-        name, service = self._find_service(asked)
+    async def _show(self, request: RoutedRequest) -> Any:
+        name, service = self._find_service(request)
         found = self._summary(name) | {"leader": self._leader_of(name)}
         monitor = self._rollouts.monitors.get(name)
         descriptions = self._rollouts.descriptions(name, service)
@@ -242,8 +244,8 @@
     def _leader_of(self, name: str) -> str:
         return self._rollouts.records.leader(name)
 
-    async def _history(self, asked: Asked) -> Any:
-        name, _ = self._find_service(asked)
+    async def _history(self, request: RoutedRequest) -> Any:
+        name, _ = self._find_service(request)
         prefix = st.entry_record_name(name, 0)[:-8]
         names = [x.removeprefix(prefix) for x in self._rollouts.records.names(prefix)]
 
@@ -251,34 +253,34 @@
             entry = self._rollouts.records.get(prefix + number, st.Entry)
             return {"number": number} | msgspec.to_builtins(entry)
 
-        return page(asked, names, shown)
+        return paginate(request, names, shown)
 
-    async def _show_endpoints(self, asked: Asked) -> Any:
-        name, _ = self._find_service(asked)
+    async def _show_endpoints(self, request: RoutedRequest) -> Any:
+        name, _ = self._find_service(request)
         return self._endpoints(name)
 
     def _endpoints(self, name: str) -> dict[str, Any]:
         ready = self._rollouts.endpoints(name).ready
         return {
             "service": name,
-            "revision": self._rollouts.records.mark(st.endpoints_record_name(name)),
+            "revision": self._rollouts.records.version(st.endpoints_record_name(name)),
             "ready": [
                 {"address": e.address, "job": e.job, "version": e.version, "zone": e.zone}
                 for e in ready
             ],
         }
 
-    async def _show_version(self, asked: Asked) -> Any:
-        name, _ = self._find_service(asked)
-        number = asked.params["version"]
+    async def _show_version(self, request: RoutedRequest) -> Any:
+        name, _ = self._find_service(request)
+        number = request.params["version"]
         found = self._rollouts.version(name, int(number)) if number.isdigit() else None
         if found is None:
-            raise Problem(404, "no_such_version", f"no version {number} of {name} is kept")
+            raise ApiError(404, "no_such_version", f"no version {number} of {name} is kept")
         return msgspec.to_builtins(found)
 
-    async def _apply_command(self, asked: Asked, command: str) -> Any:
+    async def _apply_command(self, request: RoutedRequest, command: str) -> Any:
         self._require_writable()
-        name, base = self._find_service(asked)
+        name, base = self._find_service(request)
         service = clone_service(base)
         rollout, wall = service.rollout, self._rollouts.clock.wall()
         if command == "remove":
@@ -288,7 +290,7 @@
             service.removed, service.good = True, 0
             service.rollout = st.Rollout(service.rollouts, last, "returning", 0, wall, wall)
         elif rollout is None:
-            raise Problem(409, "no_rollout", f"no roll-out of {name} is under way")
+            raise ApiError(409, "no_rollout", f"no roll-out of {name} is under way")
         elif command == "pause":
             rollout.paused = True
         elif command == "resume":
@@ -302,60 +304,58 @@
             return self._summary(name)  # no change is needed
         decision = Decision(service, f"{command}, asked by an operator")
         if not await self._commit_decision(name, base, decision):
-            raise Problem(409, "moved", "it changed meanwhile: look, and ask again")
+            raise ApiError(409, "moved", "it changed meanwhile: look, and ask again")
         return self._summary(name)
 
     async def _commit_decision(self, name: str, base: st.Service, decision: Decision) -> bool:
         try:
             return await self._rollouts.commit_decision(name, base, decision, None)
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             text = "the state service can't be asked"
-            raise Problem(503, "unavailable", text, rc.RETRY_AFTER_S) from error
+            raise ApiError(503, "unavailable", text, rc.RETRY_AFTER_S) from error
 
-    async def _pause(self, asked: Asked) -> Any:
-        return await self._apply_command(asked, "pause")
+    async def _pause(self, request: RoutedRequest) -> Any:
+        return await self._apply_command(request, "pause")
 
-    async def _resume(self, asked: Asked) -> Any:
-        return await self._apply_command(asked, "resume")
+    async def _resume(self, request: RoutedRequest) -> Any:
+        return await self._apply_command(request, "resume")
 
-    async def _abort(self, asked: Asked) -> Any:
-        return await self._apply_command(asked, "abort")
+    async def _abort(self, request: RoutedRequest) -> Any:
+        return await self._apply_command(request, "abort")
 
-    async def _remove(self, asked: Asked) -> Any:
-        return await self._apply_command(asked, "remove")
+    async def _remove(self, request: RoutedRequest) -> Any:
+        return await self._apply_command(request, "remove")
 
     # --- copies and consumers -----------------------------------------------------------------
     async def register(self, request: Request) -> Response:
         """POST /copies: a copy registers or renews its address. Only the leader accepts it."""
         if request.method != "POST":
-            return answer(405, {"error": "only POST"})
+            return json_response(405, {"error": "only POST"})
         try:
-            registration = registry.REGISTRATION.decode(request.body)
-        except MALFORMED as error:
-            return answer(400, {"error": str(error)})
+            body = registry.REGISTRATION.decode(request.body)
+        except DECODE_ERRORS as error:
+            return json_response(400, {"error": str(error)})
         if not self._rollouts.records.ready:
-            return answer(503, {"error": "not ready"}, rc.RETRY_AFTER_S)
-        if not self._rollouts.records.leads(registration.service):
-            return answer(421, {"leader": self._leader_of(registration.service)})
-        service = self._rollouts.service(registration.service)
-        monitor = self._rollouts.monitors.get(registration.service)
+            return json_response(503, {"error": "not ready"}, rc.RETRY_AFTER_S)
+        if not self._rollouts.records.leads(body.service):
+            return json_response(421, {"leader": self._leader_of(body.service)})
+        service = self._rollouts.service(body.service)
+        monitor = self._rollouts.monitors.get(body.service)
         if service is None:
-            return answer(404, {"error": f"no service {registration.service!r}"})
+            return json_response(404, {"error": f"no service {body.service!r}"})
         if monitor is None:
-            return answer(503, {"error": "leads it since a moment ago"}, rc.RETRY_AFTER_S)
-        slots = {st.job_id(registration.service, x.serial): x for x in service.slots}
-        slot = slots.get(registration.job)
-        job = self._rollouts.replica.jobs.get(registration.job)
+            return json_response(503, {"error": "leads it since a moment ago"}, rc.RETRY_AFTER_S)
+        slots = {st.job_id(body.service, x.serial): x for x in service.slots}
+        slot = slots.get(body.job)
+        job = self._rollouts.replica.jobs.get(body.job)
         if slot is None or job is None:
-            return answer(
-                404, {"error": f"{registration.job} is no copy of {registration.service}"}
-            )
+            return json_response(404, {"error": f"{body.job} is no copy of {body.service}"})
         task = job.task(0)
-        if not task.machine or task.attempt != registration.attempt:
-            return answer(409, {"error": f"attempt {registration.attempt} is not the present one"})
+        if not task.machine or task.attempt != body.attempt:
+            return json_response(409, {"error": f"attempt {body.attempt} is not the present one"})
         zone = self._rollouts.replica.zone_of.get(task.machine, slot.zone)
-        monitor.registry.register(registration, zone, self._rollouts.clock.now())
-        return answer(200, {"renew_s": rc.REGISTRATION_RENEW_S, "leave": bool(slot.leaving)})
+        monitor.registry.register(body, zone, self._rollouts.clock.now())
+        return json_response(200, {"renew_s": rc.REGISTRATION_RENEW_S, "leave": bool(slot.leaving)})
 
     async def poll_endpoints(self, request: Request) -> Response:
         """GET /services/NAME/endpoints[?after=REVISION&hold_ms=N]: the ready copies.
@@ -365,24 +365,24 @@
         url = urlsplit(request.path)
         parts = url.path.strip("/").split("/")
         if request.method != "GET" or len(parts) != 3 or parts[2] != "endpoints":
-            return answer(404, {"error": "GET /services/NAME/endpoints"})
+            return json_response(404, {"error": "GET /services/NAME/endpoints"})
         name = parts[1]
         query = {k: v[-1] for k, v in parse_qs(url.query).items()}
         raw_after, raw_hold = query.get("after", "-1"), query.get("hold_ms", "0")
         if not raw_hold.isdecimal() or not raw_after.removeprefix("-").isdecimal():
-            return answer(400, {"error": "after and hold_ms are whole numbers"})
+            return json_response(400, {"error": "after and hold_ms are whole numbers"})
         after, hold_s = int(raw_after), min(int(raw_hold), rc.MAX_HOLD_MS) / 1000
         if not self._rollouts.replica.loaded or self._replica_age_s() > MAX_REPLICA_AGE_S:
-            return answer(503, {"error": "this node's copy is old"}, rc.RETRY_AFTER_S)
+            return json_response(503, {"error": "this node's copy is old"}, rc.RETRY_AFTER_S)
         if self._rollouts.service(name) is None:
-            return answer(404, {"error": f"no service {name!r}"})
+            return json_response(404, {"error": f"no service {name!r}"})
         until = self._rollouts.clock.now() + hold_s
         while self._endpoints(name)["revision"] <= after:
             left = until - self._rollouts.clock.now()
             if left <= 0:
                 break
             if self._held_polls >= rc.MAX_HELD_POLLS:
-                return answer(503, {"error": "too many polls are held"}, rc.RETRY_AFTER_S)
+                return json_response(503, {"error": "too many polls are held"}, rc.RETRY_AFTER_S)
             event = self._change_events.setdefault(name, asyncio.Event())
             self._held_polls += 1
             try:
@@ -392,7 +392,7 @@
                 break
             finally:
                 self._held_polls -= 1
-        return answer(200, self._endpoints(name))
+        return json_response(200, self._endpoints(name))
 
     def _replica_age_s(self) -> float:
-        return self._rollouts.clock.now() - self._rollouts.node.store.current_at
+        return self._rollouts.clock.now() - self._rollouts.node.store.fresh_as_of
--- a/pulleydeal/rollouts/seeing.py
+++ b/pulleydeal/rollouts/monitoring.py
@@ -6,11 +6,11 @@
 from pulleydeal.rollouts import health
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, STARTING, UNHEALTHY, UNKNOWN
 from pulleydeal.rollouts.description import Check
+from pulleydeal.rollouts.model import CopyStatus, Observation
 from pulleydeal.rollouts.registry import Registry
-from pulleydeal.rollouts.seen import CopyStatus, Observation
 from pulleydeal.rollouts.state import Endpoint, Service, Slot, job_id
 from pulleydeal.store.job import Job
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.store.replica import Replica
 
 
@@ -98,7 +98,7 @@
     start_failed = task.fails >= rc.UNHEALTHY_AFTER_FAILED_STARTS
     if not task.machine:
         monitor.bound_at.pop(job.id, None)
-        last = f"; last: {shown(task.why)}" if task.why else ""
+        last = f"; last: {reason_text(task.why)}" if task.why else ""
         if start_failed:
             return CopyStatus(slot, UNHEALTHY, f"its task failed {task.fails} times{last}")
         reason = f"waits for {wait_reasons.get(job.id) or 'credit'}{last}"
--- a/pulleydeal/rollouts/service.py
+++ b/pulleydeal/rollouts/service.py
@@ -4,22 +4,22 @@
 import logging
 from typing import TypeVar
 
-from pulleydeal.background import Background
-from pulleydeal.features.context import Handler, Service, Step
+from pulleydeal.background import BackgroundTasks
+from pulleydeal.features.context import Handler, NodeContext, Step
 from pulleydeal.features.records import Records
 from pulleydeal.features.routes import Route
 from pulleydeal.rollouts import constants as rc
-from pulleydeal.rollouts import health, seeing
+from pulleydeal.rollouts import health, monitoring
 from pulleydeal.rollouts import state as st
 from pulleydeal.rollouts.decide import decide
 from pulleydeal.rollouts.description import Description
+from pulleydeal.rollouts.model import Decision, Observation
+from pulleydeal.rollouts.monitoring import ServiceMonitor
 from pulleydeal.rollouts.prober import Prober
-from pulleydeal.rollouts.seeing import ServiceMonitor
-from pulleydeal.rollouts.seen import Decision, Observation
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 
 log = logging.getLogger("pulleydeal.rollouts")
 T = TypeVar("T")
@@ -30,7 +30,7 @@
 class Rollouts:
     """Runs the roll-outs of all services that this node leads."""
 
-    def __init__(self, node: Service) -> None:
+    def __init__(self, node: NodeContext) -> None:
         from pulleydeal.rollouts.interface import Interface
 
         self.node = node
@@ -40,7 +40,7 @@
         self.monitors: dict[str, ServiceMonitor] = {}
         self.prober = Prober(node.clock)
         self.decisions_committed = 0  # number of transactions that carried a decision
-        self._background = Background("a round of health checks failed")
+        self._background = BackgroundTasks("a round of health checks failed")
         self._decode_cache: dict[str, tuple[int, object]] = {}
         self.interface = Interface(self)
 
@@ -64,7 +64,7 @@
     # --- records ------------------------------------------------------------------------------
     def _decode(self, name: str, type_: type[T]) -> T | None:
         """A record, decoded once per stored version. Shared: callers must not modify it."""
-        record_version = self.records.mark(name)
+        record_version = self.records.version(name)
         cached = self._decode_cache.get(name)
         if cached is None or cached[0] != record_version:
             cached = (record_version, self.records.get(name, type_))
@@ -133,7 +133,7 @@
         updated = decision.service if decision else service
         leaving = {x.serial for x in updated.slots if x.leaving}
         leaving |= {x.slot.serial for x in observation.copies} - {x.serial for x in updated.slots}
-        ready = seeing.ready_endpoints(name, observation, monitor, previous, leaving)
+        ready = monitoring.ready_endpoints(name, observation, monitor, previous, leaving)
         if decision is None and ready == previous:
             return
         try:
@@ -141,7 +141,7 @@
                 name, service, decision, ready if ready != previous else None
             ):
                 monitor.next_evaluation = now
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             log.debug("service %s: commit of a decision failed or is unconfirmed: %s", name, error)
         except TooLarge as error:
             log.error("service %s: a decision exceeds the state service's limits: %s", name, error)
@@ -153,7 +153,7 @@
         reasons = {job: self.node.reason(job) for job in jobs}
         now, wall = self.clock.now(), self.clock.wall()
         previous, zones = self.endpoints(name).ready, self.node.zones
-        return seeing.observe(
+        return monitoring.observe(
             name, service, d.check, self.replica, monitor, reasons, previous, zones, now, wall
         )
 
@@ -179,7 +179,7 @@
         written, if it, the view or another record that the transaction depends on has changed.
         """
         key = st.service_record_name(name)
-        read_versions = {key: self.records.mark(key)}
+        read_versions = {key: self.records.version(key)}
         if self.service(name) is not base:
             return False  # the record changed while the decision was made
         puts: dict[str, object] = {}
@@ -190,7 +190,7 @@
         if ready is not None:
             endpoints = st.endpoints_record_name(name)
             puts[endpoints] = st.Endpoints(ready)
-            read_versions[endpoints] = self.records.mark(endpoints)
+            read_versions[endpoints] = self.records.version(endpoints)
         if decision is not None:
             service = decision.service
             if decision.in_history:
@@ -201,7 +201,7 @@
             for slot in decision.stop:
                 self._cancel_job(name, slot, wall, job_puts, job_versions)
         done = await self.records.commit(
-            read_versions, puts, drops, job_puts, job_versions, Turn.WORK
+            read_versions, puts, drops, job_puts, job_versions, WritePriority.NORMAL
         )
         if done and decision is not None:
             self.decisions_committed += 1
@@ -228,7 +228,7 @@
             wall, service, decision.action, decision.reason, decision.evidence
         )
         expired = st.entry_record_name(name, service.entries - rc.KEPT_HISTORY_ENTRIES)
-        return [expired] if self.records.mark(expired) else []
+        return [expired] if self.records.version(expired) else []
 
     def _submit_job(
         self,
@@ -257,5 +257,7 @@
         if job is None or job.record is None or job.record.state != "open":
             return
         key = r.job_key(job.id)
-        job_puts[key] = r.cancelled(job.record, job.spec, wall, self.node.keeping.holds_back())
+        job_puts[key] = r.cancelled_record(
+            job.record, job.spec, wall, self.node.partition_policy.defers_cancellations()
+        )
         job_versions[key] = job.version
--- a/pulleydeal/rollouts/look.py
+++ b/pulleydeal/rollouts/service_view.py
@@ -3,7 +3,7 @@
 from pulleydeal.rollouts import constants as rc
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, UNKNOWN
 from pulleydeal.rollouts.description import Description
-from pulleydeal.rollouts.seen import CopyStatus, Observation, clone_service, least_used_zone
+from pulleydeal.rollouts.model import CopyStatus, Observation, clone_service, least_used_zone
 from pulleydeal.rollouts.state import Service, Slot
 
 
--- a/pulleydeal/workers/changes.py
+++ b/pulleydeal/workers/changes.py
@@ -1,36 +1,37 @@
-"""What the end or the stop of a task changes in its job's record."""
+"""Applies the exit or the stop of a task to its job's record."""
 
 from pulleydeal import constants as c
 from pulleydeal.store.draft import Draft
-from pulleydeal.workers.station import Exit
+from pulleydeal.workers.tracked_machine import Exit
 
 
-def apply_exit(draft: Draft, gone: Exit) -> None:
-    """The task is proved gone: it is unbound, and done if that is how it ended."""
-    old = draft.task(gone.index)
-    if old.machine != gone.machine or old.attempt != gone.attempt:
+def apply_exit(draft: Draft, task_exit: Exit) -> None:
+    """Unbinds a task that is proved to have ended, and marks it done if it succeeded."""
+    old = draft.task(task_exit.index)
+    if old.machine != task_exit.machine or old.attempt != task_exit.attempt:
         return
-    task = draft.edit(gone.index)
+    task = draft.edit(task_exit.index)
     if task is None:
         return
     task.machine = ""
     task.stop = ""
-    task.why = gone.detail
-    if gone.outcome == "done":
+    task.why = task_exit.detail
+    if task_exit.outcome == "done":
         task.why = ""
         if draft.spec.kind != "service":
             task.done = True
         if draft.spec.kind == "gang":
-            # PROTOCOL: a gang's tasks complete together; when one is done, all are.
+            # PROTOCOL: the tasks of a gang complete together, so one done means all done.
             for index in range(draft.spec.tasks):
                 peer = draft.edit(index)
-                if peer is not None and peer.attempt == gone.attempt:
+                if peer is not None and peer.attempt == task_exit.attempt:
                     peer.done = True
-    if gone.outcome == "error":
+    if task_exit.outcome == "error":
         task.fails = min(task.fails + 1, c.MAX_FAILS)
 
 
 def apply_stop(draft: Draft, index: int, attempt: int, why: str) -> None:
+    """Requests an orderly stop of a bound task, or of its whole gang."""
     gang = draft.spec.kind == "gang"
     for i in range(draft.spec.tasks) if gang else [index]:
         old = draft.task(i)
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -1,4 +1,4 @@
-"""Answers check-ins, gives orders, and turns proof that a task is gone into durable facts."""
+"""Answers worker check-ins, sends orders, and records task exits durably once they are proved."""
 
 import asyncio
 import logging
@@ -10,58 +10,60 @@
 import msgspec
 
 from pulleydeal import constants as c
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
 from pulleydeal.decisions import Action, Decision, DecisionLog
-from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.http import DECODE_ERRORS, Request, Response, json_response
+from pulleydeal.membership import freshness
 from pulleydeal.membership import view as views
-from pulleydeal.membership import vouching
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store.service import Store
 from pulleydeal.workers import incarnation, task_log
 from pulleydeal.workers import messages as m
-from pulleydeal.workers.adopting import Adopting
-from pulleydeal.workers.commanding import Commanding
-from pulleydeal.workers.ends import Ends
-from pulleydeal.workers.keeping import Keeping
-from pulleydeal.workers.reachability import silent_s, unsignalled_s
-from pulleydeal.workers.station import (
-    Entry,
+from pulleydeal.workers.commander import Commander
+from pulleydeal.workers.desired import desired_tasks
+from pulleydeal.workers.exits import ExitRecorder
+from pulleydeal.workers.partition_policy import PartitionPolicy
+from pulleydeal.workers.reachability import silent_s, without_checkin_s
+from pulleydeal.workers.registration import MachineRegistrar
+from pulleydeal.workers.tracked_machine import (
+    AttemptId,
     Plan,
-    Sent,
-    Start,
-    Station,
+    SentStart,
     TaskId,
-    absorb,
+    TaskStatus,
+    TrackedMachine,
+    apply_report,
     forget_kills,
-    is_settled,
+    is_reconciled,
     reconcile,
 )
-from pulleydeal.workers.wanted import wanted
 
 log = logging.getLogger("pulleydeal.workers")
 
 
-def _nothing(_machine: str) -> None:
-    """Before anybody listens."""
+def _ignore(_machine: str) -> None:
+    """Default for `Workers.changed`, until a listener is set."""
 
 
-def _exited(entries: dict[TaskId, Entry]) -> set[TaskId]:
-    return {task_id for task_id, entry in entries.items() if entry.state == "exited"}
+def _exited_tasks(tasks: dict[TaskId, TaskStatus]) -> set[TaskId]:
+    return {task_id for task_id, entry in tasks.items() if entry.state == "exited"}
 
 
 class Workers:
+    """Owner-side handling of the worker machines that this node owns."""
+
     def __init__(
         self,
         membership: Membership,
         store: Store,
-        times: WorkerTimes,
+        times: WorkerTimings,
         clock: Clock,
         metrics: Metrics,
-        stations: dict[str, Station],
-        keeping: Keeping,
+        machines: dict[str, TrackedMachine],
+        partition_policy: PartitionPolicy,
     ) -> None:
         self._membership = membership
         self._store = store
@@ -70,309 +72,327 @@
         self._clock = clock
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._epoch = 0  # the last view by which machines were taken and given up
-        self.stations = stations
-        self._keeping = keeping
+        self._epoch = 0  # epoch of the view that ownership was last updated to
+        self.machines = machines
+        self._partition_policy = partition_policy
         self._decisions = DecisionLog(membership, store, clock, metrics)
-        self.ends = Ends(membership, store, clock, metrics, self._decisions, stations, self._replan)
-        self.commanding = Commanding(
+        self.exits = ExitRecorder(
+            membership, store, clock, metrics, self._decisions, machines, self._replan
+        )
+        self.commander = Commander(
             membership,
             store.replica,
             clock,
             metrics,
             self._decisions,
-            stations,
-            self.ends,
-            self._take_answer,
+            machines,
+            self.exits,
+            self._on_order_report,
             self._replan,
-            lambda machine: self.changed(machine),
+            lambda machine: self.on_credit_change(machine),
         )
-        self._adopting = Adopting(store, clock)
-        self._background = Background("a worker exchange failed")
+        self._registrar = MachineRegistrar(store, clock)
+        self._background = BackgroundTasks("registering a machine failed")
         self._dirty: set[str] = set()
         self._wake = asyncio.Event()
-        # A blind node must be silent early enough that leases end within cancel_s.
-        self._blind_limit_s = max(
+        # Oldest state copy with which leases may be renewed: a node cut off from the state service
+        # must stop renewing early enough that leases expire within cancel_s.
+        self._max_staleness_s = max(
             2.0, (times.cancel_s - times.lease_s) * (1 - c.CLOCK_DRIFT) - c.RENEW_MARGIN_S
         )
-        # Machines whose last report names a task of the job: found without asking each one.
-        self._reported: dict[str, set[str]] = {}
-        self._looked_at = -1e9  # when all machines were last looked at
-        # Called with a machine whose credit may have changed.
-        self.changed: Callable[[str], None] = _nothing
-        store.replica.listen(self._on_change)
+        # Job -> machines whose last report names one of its tasks.
+        self._machines_by_job: dict[str, set[str]] = {}
+        self._full_round_at = -1e9  # steady time of the last round over all owned machines
+        # Called with the id of a machine whose credit may have changed.
+        self.on_credit_change: Callable[[str], None] = _ignore
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "job":
             job = self._replica.jobs.get(name)
-            # A gang's members hang together, and a job's end concerns all its tasks; of any
-            # other change the machines concerned are told one by one ("bound").
+            # A change of a gang, or the end of any job, affects all its tasks. For other changes
+            # a "bound" event names each affected machine.
             if job is not None and (not job.is_open or (job.spec and job.spec.kind == "gang")):
                 for machine in {task.machine for _, task in job.bindings()}:
-                    self._touch(machine)
-                for machine in self._reported.get(name, ()):
-                    self._touch(machine)
+                    self._mark_changed(machine)
+                for machine in self._machines_by_job.get(name, ()):
+                    self._mark_changed(machine)
         elif kind in ("machine", "bound"):
-            self._touch(name)
+            self._mark_changed(name)
             record = self._replica.machines.get(name)
             if kind == "machine" and (record is None or record.record.state == "gone"):
-                self._drop(name)
+                self._stop_tracking(name)
         elif kind == "view":
-            self._own()
+            self._update_ownership()
         self._wake.set()
 
-    def _touch(self, machine: str) -> None:
-        """What a plan for the machine is made from has changed."""
+    def _mark_changed(self, machine: str) -> None:
+        """Marks a machine for planning, because an input of its plan has changed."""
         self._dirty.add(machine)
-        station = self.stations.get(machine)
-        if station is not None:
-            station.settled = False
+        tracked = self.machines.get(machine)
+        if tracked is not None:
+            tracked.reconciled = False
 
-    def _own(self) -> None:
-        """Takes and gives up machines as the view says."""
+    def _update_ownership(self) -> None:
+        """Starts and stops tracking machines according to the current view."""
         token = views.token(self._membership.epoch, 0)
         now = self._clock.now()
-        skipped = self._membership.epoch > self._epoch + 1
+        skipped_views = self._membership.epoch > self._epoch + 1
         self._epoch = self._membership.epoch
         members = " ".join(sorted(self._membership.view.members))
         is_member = self._membership.is_member
         self._decisions.write(Decision(Action.LEAD, f"members {members}", allowed=is_member))
         with self._lock:
-            if skipped:
-                # Machines may have been another's in a view that was never looked at here.
-                self.stations.clear()
-                self._reported.clear()
-            for machine, station in list(self.stations.items()):
-                if not self._membership.owns(machine, station.zone):
-                    self._drop(machine)
+            if skipped_views:
+                # Another node may have owned them in a view that this node never processed.
+                self.machines.clear()
+                self._machines_by_job.clear()
+            for machine, tracked in list(self.machines.items()):
+                if not self._membership.owns(machine, tracked.zone):
+                    self._stop_tracking(machine)
             for machine, record in self._replica.machines.items():
                 rec = record.record
-                if rec.state == "gone" or machine in self.stations:
+                if rec.state == "gone" or machine in self.machines:
                     continue
                 if self._membership.owns(machine, rec.zone):
-                    station = self._station(machine, rec.type, rec.zone, rec.spot, token, now)
-                    station.addr = rec.addr
-        for machine in self.stations:
-            self._touch(machine)
-
-    def _drop(self, machine: str) -> None:
-        """Gives a machine up: another's now, or given back, which is asked in vain if it stays."""
-        station = self.stations.pop(machine, None)
-        if station is not None:
-            self._index(machine, station.entries, {})
-            self.commanding.orders.drop(station.addr)
-            self.changed(machine)
-
-    def _station(
+                    tracked = self._track(machine, rec.type, rec.zone, rec.spot, token, now)
+                    tracked.addr = rec.addr
+        for machine in self.machines:
+            self._mark_changed(machine)
+
+    def _stop_tracking(self, machine: str) -> None:
+        """Stops tracking a machine that has another owner or was returned to the cloud.
+
+        A returned machine would otherwise be probed in vain.
+        """
+        tracked = self.machines.pop(machine, None)
+        if tracked is not None:
+            self._index_report(machine, tracked.tasks, {})
+            self.commander.orders.drop(tracked.addr)
+            self.on_credit_change(machine)
+
+    def _track(
         self, machine: str, type_: str, zone: str, spot: bool, token: int, now: float
-    ) -> Station:
-        station = Station(machine, type_, zone, spot, now, token, self._bound(machine))
-        self.stations[machine] = station
-        return station
-
-    def _first_heard(self, report: m.Report, fence: int) -> Station:
-        """Of a machine without a record an old report may come, minutes after it was given back:
-        only a token that it was not given before proves that it is there (`fence`)."""
+    ) -> TrackedMachine:
+        tracked = TrackedMachine(machine, type_, zone, spot, now, token, self._bound_on(machine))
+        self.machines[machine] = tracked
+        return tracked
+
+    def _track_first_report(self, report: m.Report, fence: int) -> TrackedMachine:
+        """Starts tracking a machine at its first report to this node.
+
+        `fence`: 1 if the machine has no record. Its report may have been delayed since before the
+        machine was returned, so only a token that it never had before proves that it still exists.
+        """
         token, now = views.token(self._membership.epoch, fence), self._clock.now()
         kind = (report.type, report.zone, report.spot)
         with self._lock:
-            station = self._station(report.machine, *kind, token, now)
-        station.fence = fence
-        return station
+            tracked = self._track(report.machine, *kind, token, now)
+        tracked.fence = fence
+        return tracked
 
-    def _bound(self, machine: str) -> set[Start]:
-        """What an earlier owner, or an earlier life of the machine, may have started."""
-        bound = self._replica.bound.get(machine, {})
+    def _bound_on(self, machine: str) -> set[AttemptId]:
+        """Attempts that an earlier owner, or this node before a restart, may have started there."""
+        bound = self._replica.tasks_by_machine.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
-    def silent(self, station: Station) -> bool:
+    def silent(self, tracked: TrackedMachine) -> bool:
+        """Whether check-ins have been missing for `SILENT_REPORTS` report periods."""
         limit = c.SILENT_REPORTS * self._times.report_s
-        return unsignalled_s(station, self._clock.now()) > limit
+        return without_checkin_s(tracked, self._clock.now()) > limit
 
     def oldest_report_s(self) -> float:
         now = self._clock.now()
-        return max((silent_s(station, now) for station in self.stations.values()), default=0.0)
+        return max((silent_s(tracked, now) for tracked in self.machines.values()), default=0.0)
 
     # --- check-ins ------------------------------------------------------------------------
     async def checkin(self, request: Request) -> Response:
         try:
             report = m.REPORT.decode(request.body)
-        except MALFORMED as error:
-            return answer(400, {"error": str(error)})
+        except DECODE_ERRORS as error:
+            return json_response(400, {"error": str(error)})
         if not self._replica.loaded or not self._membership.is_member:
-            return answer(503, {"error": "not ready"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "not ready"}, c.RETRY_AFTER_S)
         owner = self._membership.owner(report.machine, report.zone)
         if owner != self._membership.me:
-            if self._keeping.keeps(report):
-                return answer(200, m.commands(report.token, []))
-            return answer(421, m.redirect(owner))
-        if not self._may_renew(report.zone):
-            return answer(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
+            if self._partition_policy.renews_for_owner(report):
+                return json_response(200, m.commands(report.token, []))
+            return json_response(421, m.redirect(owner))
+        if not self._may_renew_lease(report.zone):
+            return json_response(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
         record = self._replica.machines.get(report.machine)
         if record is not None and record.record.state == "gone":
-            return answer(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
-        station = self.stations.get(report.machine)
-        if station is None:
-            station = self._first_heard(report, fence=int(record is None))
-        if report.token > self.commanding.token(station):
-            # Somebody newer commands this machine: our view is old, or will soon be.
-            return answer(421, m.redirect(""))
-        if incarnation.doubtful(station, report, self._clock.now()):
-            self.commanding.probe(station)
-            return self._commands(station, [])
-        self._take(station, report, checkin=True)
+            return json_response(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
+        tracked = self.machines.get(report.machine)
+        if tracked is None:
+            tracked = self._track_first_report(report, fence=int(record is None))
+        if report.token > self.commander.token(tracked):
+            # An owner with a newer view commands the machine; this node's view is outdated.
+            return json_response(421, m.redirect(""))
+        if incarnation.is_ambiguous(tracked, report, self._clock.now()):
+            self.commander.probe(tracked)
+            return self._command_response(tracked, [])
+        self._apply_report(tracked, report, checkin=True)
         if record is None or record.record.state == "boot" or (record.record.addr != report.addr):
-            self._background.spawn(self._adopting.adopt(report))
-        plan = self._plan(station)
+            self._background.spawn(self._registrar.register(report))
+        plan = self._plan(tracked)
         for start in plan.runs:
-            station.sent[start] = Sent(station.session, report.seq)
-        right = self.commanding.right(station)
-        self.commanding.log(station, right, plan.calls, "answer to a check-in")
-        return self._commands(station, plan.calls)
+            tracked.sent[start] = SentStart(tracked.session, report.seq)
+        authority = self.commander.authority(tracked)
+        self.commander.log(tracked, authority, plan.calls, "answer to a check-in")
+        return self._command_response(tracked, plan.calls)
 
-    def _commands(self, station: Station, calls: list[dict[str, Any]]) -> Response:
-        body = msgspec.json.encode(m.commands(self.commanding.token(station), calls))
-        return Response(200, body, written=lambda: self._answered(station))
+    def _command_response(self, tracked: TrackedMachine, calls: list[dict[str, Any]]) -> Response:
+        body = msgspec.json.encode(m.commands(self.commander.token(tracked), calls))
+        return Response(200, body, on_send=lambda: self._on_answered(tracked))
 
-    def _answered(self, station: Station) -> None:
-        station.answered_at = self._clock.now()
+    def _on_answered(self, tracked: TrackedMachine) -> None:
+        tracked.last_answer_at = self._clock.now()
 
-    def _may_renew(self, zone: str) -> bool:
-        """Nobody may keep a machine's tasks alive who can't hear of a cancellation.
+    def _may_renew_lease(self, zone: str) -> bool:
+        """Whether this node knows of cancellations recently enough to renew leases in the zone.
 
-        When its copy was current or the others were asked counts, not when they answered.
+        Otherwise it might keep a cancelled task alive. What counts is when its copy was current or
+        when the other members were asked, not when their answers arrived.
         """
-        limit_s, now = self._blind_limit_s, self._clock.now()
+        limit_s, now = self._max_staleness_s, self._clock.now()
         return (
-            vouching.may_renew(self._store.current_at, limit_s, now)
-            or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
-            or self._keeping.bears_blindness(zone)
+            freshness.may_renew(self._store.fresh_as_of, limit_s, now)
+            or freshness.may_renew(self._membership.cancellations_known_at(), limit_s, now)
+            or self._partition_policy.may_renew_while_stale(zone)
         )
 
-    def _take(self, station: Station, report: m.Report, checkin: bool) -> None:
+    def _apply_report(self, tracked: TrackedMachine, report: m.Report, checkin: bool) -> None:
         now = self._clock.now()
         with self._lock:
-            before = station.entries
-            stood = (station.trusted, station.notice_at is None, self.silent(station))
-            fresh = absorb(station, report, now, checkin)
-            if fresh and before is not station.entries:
-                self._index(station.id, before, station.entries)
+            before = tracked.tasks
+            status_before = (tracked.trusted, tracked.notice_at is None, self.silent(tracked))
+            fresh = apply_report(tracked, report, now, checkin)
+            if fresh and before is not tracked.tasks:
+                self._index_report(tracked.id, before, tracked.tasks)
         if not fresh:
             return
-        progressed = before is not station.entries and before != station.entries
+        progressed = before is not tracked.tasks and before != tracked.tasks
         if progressed:
-            task_log.progress(station, before)
-        if not checkin or (progressed and _exited(before) != _exited(station.entries)):
-            self._dirty.add(station.id)
+            task_log.log_progress(tracked, before)
+        if not checkin or (progressed and _exited_tasks(before) != _exited_tasks(tracked.tasks)):
+            self._dirty.add(tracked.id)
             self._wake.set()
-        # Most reports say nothing new: a credit renewed for each would cost a core.
-        stands = (station.trusted, station.notice_at is None, self.silent(station))
-        if progressed or stood != stands:
-            self.changed(station.id)
+        # Most reports contain no change; recomputing the credit for each would use a whole core.
+        status = (tracked.trusted, tracked.notice_at is None, self.silent(tracked))
+        if progressed or status_before != status:
+            self.on_credit_change(tracked.id)
 
-    def _index(
-        self, machine: str, before: dict[TaskId, Entry], entries: dict[TaskId, Entry]
+    def _index_report(
+        self, machine: str, before: dict[TaskId, TaskStatus], tasks: dict[TaskId, TaskStatus]
     ) -> None:
-        old, new = {job for job, _ in before}, {job for job, _ in entries}
+        old, new = {job for job, _ in before}, {job for job, _ in tasks}
         for job in old - new:
-            machines = self._reported.get(job, set())
+            machines = self._machines_by_job.get(job, set())
             machines.discard(machine)
             if not machines:
-                self._reported.pop(job, None)
+                self._machines_by_job.pop(job, None)
         for job in new - old:
-            self._reported.setdefault(job, set()).add(machine)
+            self._machines_by_job.setdefault(job, set()).add(machine)
 
     # --- planning -------------------------------------------------------------------------
-    def _is_settled(self, station: Station, now: float) -> bool:
-        """A cancellation that only a sibling's beat told changes a plan without touching it."""
-        relayed = self._membership.relayed_cancels()
-        return not relayed and is_settled(station, now, self._times.lease_s)
+    def _is_reconciled(self, tracked: TrackedMachine, now: float) -> bool:
+        """Whether planning can be skipped, as the plan would be empty.
 
-    def _plan(self, station: Station) -> Plan:
+        Cancellations known only from another node's heartbeat mark no machine as changed, so
+        nothing is skipped while there are any.
+        """
+        relayed = self._membership.relayed_cancellations()
+        return not relayed and is_reconciled(tracked, now, self._times.lease_s)
+
+    def _plan(self, tracked: TrackedMachine) -> Plan:
         now = self._clock.now()
-        if self._is_settled(station, now):
+        if self._is_reconciled(tracked, now):
             return Plan()
         with self._lock:
             plan = reconcile(
-                station,
-                wanted(self._replica, station.id, self._membership.relayed_cancels()),
+                tracked,
+                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancellations()),
                 now,
                 self._times.lease_s,
-                partial(self._keeping.alone, station),
-                self.ends.pending,
+                partial(self._partition_policy.no_peer_renewed, tracked),
+                self.exits.pending,
             )
-            if station.busy:
-                # An order is under way, perhaps for seconds: nothing is started beside it, nor
-                # cleared. A kill can be repeated; orders that hung had kept kills from a machine
-                # whose lease went on being renewed.
+            if tracked.order_in_flight:
+                # Nothing is started or cleared while an order is in flight, which may take
+                # seconds. Kills can be repeated safely and are kept: orders that hung used to hold
+                # them back from machines whose leases went on being renewed.
                 plan.calls = [call for call in plan.calls if call["call"] == "kill"]
                 plan.runs = []
-        for gone in plan.exits:
-            self.ends.record(station, gone)
+        for task_exit in plan.exits:
+            self.exits.record(tracked, task_exit)
         return plan
 
     def _replan(self, machine: str) -> None:
-        """An end there was written or given up, or an order was not sent."""
-        self._touch(machine)
+        """Plans the machine again: an exit was written or dropped, or an order was not sent."""
+        self._mark_changed(machine)
         self._wake.set()
 
     # --- direct orders ----------------------------------------------------------------------
     async def work(self) -> None:
-        """One round: whatever changed is reconciled, and said at once where that helps."""
+        """One round: reconciles the machines that changed and sends urgent commands directly."""
         try:
-            async with asyncio.timeout(c.LOOK_ROUND_S):
+            async with asyncio.timeout(c.MACHINE_SWEEP_S):
                 await self._wake.wait()
         except TimeoutError:
             pass
         self._wake.clear()
         now = self._clock.now()
-        if now - self._looked_at >= c.LOOK_ROUND_S:
-            # Leases run out and kills are repeated though nothing changes.
-            self._looked_at = now
-            self._dirty.update(self.stations)
+        if now - self._full_round_at >= c.MACHINE_SWEEP_S:
+            # Leases expire and kills are repeated without any change that marks the machine.
+            self._full_round_at = now
+            self._dirty.update(self.machines)
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
-            station = self.stations.get(machine)
-            if station is not None and not station.busy:
-                self._look(station)
+            tracked = self.machines.get(machine)
+            if tracked is not None and not tracked.order_in_flight:
+                self._reconcile_machine(tracked)
 
-    def _look(self, station: Station) -> None:
+    def _reconcile_machine(self, tracked: TrackedMachine) -> None:
         if not self._membership.is_member:
             return
-        if not station.trusted:
-            # After a takeover, also if an old report came: raise the token and get a new one.
-            self.commanding.probe(station)
+        if not tracked.trusted:
+            # After a takeover, even if an old report arrived: the probe gives the machine the new
+            # token and returns a new report.
+            self.commander.probe(tracked)
             return
-        if not station.addr or silent_s(station, self._clock.now()) > self._times.lease_s:
-            self._plan(station)
+        if not tracked.addr or silent_s(tracked, self._clock.now()) > self._times.lease_s:
+            self._plan(tracked)
             return
-        plan = self._plan(station)
-        if station.is_misunderstood:
-            # What it does with an order can't be told: the answers to its check-ins carry the
-            # commands, until it answers a probe as it should.
-            forget_kills(station, plan.calls)
+        plan = self._plan(tracked)
+        if tracked.last_answer_invalid:
+            # The effect of orders on this machine is unknown. Answers to its check-ins carry the
+            # commands until it answers a probe correctly.
+            forget_kills(tracked, plan.calls)
             return
         urgent = [call for call in plan.calls if call["call"] != "clear"]
         if urgent or any(
-            sent.fence is not None and not sent.settled for sent in station.sent.values()
+            sent.fence is not None and not sent.settled for sent in tracked.sent.values()
         ):
             for start in plan.runs:
-                station.sent[start] = Sent(station.session, 0, direct=True)
-            self.commanding.give(station, urgent, plan.runs)
+                tracked.sent[start] = SentStart(tracked.session, 0, direct=True)
+            self.commander.send(tracked, urgent, plan.runs)
 
-    def _take_answer(
-        self, station: Station, report: m.Report, before: incarnation.Known | None
+    def _on_order_report(
+        self, tracked: TrackedMachine, report: m.Report, before: incarnation.KnownState | None
     ) -> None:
-        if self.stations.get(station.id) is not station:
+        if self.machines.get(tracked.id) is not tracked:
             return
-        if incarnation.begins_anew(before, report):
-            log.info("machine %s is back without its tasks", station.id)
-            token = views.token(self._membership.epoch, station.fence + 1)
-            new = incarnation.next_life(station, self._bound(station.id), token, self._clock.now())
+        if incarnation.has_restarted(before, report):
+            log.info("machine %s restarted without its tasks", tracked.id)
+            token = views.token(self._membership.epoch, tracked.fence + 1)
+            new = incarnation.state_after_restart(
+                tracked, self._bound_on(tracked.id), token, self._clock.now()
+            )
             with self._lock:
-                self.stations[station.id] = new
-                self._index(station.id, station.entries, {})
-            station = new
-        self._take(station, report, checkin=False)
-        if not station.trusted:
-            self.commanding.probe(station)  # raises its token
+                self.machines[tracked.id] = new
+                self._index_report(tracked.id, tracked.tasks, {})
+            tracked = new
+        self._apply_report(tracked, report, checkin=False)
+        if not tracked.trusted:
+            self.commander.probe(tracked)  # gives it the new token
--- a/tests/test_rollout_decide.py
+++ b/tests/test_rollout_decide.py
@@ -14,7 +14,7 @@
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, STARTING, UNHEALTHY, UNKNOWN
 from pulleydeal.rollouts.decide import decide
 from pulleydeal.rollouts.description import Check, Description
-from pulleydeal.rollouts.seen import CopyStatus, Observation, begin_rollout, clone_service
+from pulleydeal.rollouts.model import CopyStatus, Observation, begin_rollout, clone_service
 from pulleydeal.rollouts.state import Service, Slot
 
 ZONES = ["east", "west", "north"]
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -14,14 +14,14 @@
 from pulleydeal.features.settings import Features, RolloutsSettings
 from pulleydeal.http import Request
 from pulleydeal.rollouts import constants as rc
-from pulleydeal.rollouts import health, seeing
+from pulleydeal.rollouts import health, monitoring
 from pulleydeal.rollouts import state as st
 from pulleydeal.rollouts.constants import HEALTHY, QUEUED, STARTING, UNHEALTHY, UNKNOWN
 from pulleydeal.rollouts.description import Check, DescriptionError, deployment_faults, parse
 from pulleydeal.rollouts.health import ProbeResult, RegisteredCopy
+from pulleydeal.rollouts.model import Observation
+from pulleydeal.rollouts.monitoring import ServiceMonitor
 from pulleydeal.rollouts.registry import Registration
-from pulleydeal.rollouts.seeing import ServiceMonitor
-from pulleydeal.rollouts.seen import Observation
 from pulleydeal.settings import Team, load
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
@@ -210,7 +210,7 @@
 
     def put(self, key: str, value: object) -> None:
         self.replica.revision += 1
-        self.replica.committed({key: msgspec.json.encode(value)}, [], self.replica.revision)
+        self.replica.apply_commit({key: msgspec.json.encode(value)}, [], self.replica.revision)
 
     def task(self, serial: int, task: r.Task) -> None:
         self.put(r.chunk_key(st.job_id("web", serial), 0), [task])
@@ -223,7 +223,7 @@
 
     def observe(self, now: float) -> Observation:
         zones, check = ["east", "west"], CHECK
-        return seeing.observe(
+        return monitoring.observe(
             "web",
             self.service,
             check,
@@ -302,7 +302,7 @@
 
     def ready(now: float, *leaving: int) -> list[str]:
         observation = leader.observe(now)
-        leader.previous = seeing.ready_endpoints(
+        leader.previous = monitoring.ready_endpoints(
             "web", observation, leader.monitor, leader.previous, set(leaving)
         )
         return sorted(e.address for e in leader.previous)
@@ -332,11 +332,11 @@
         wall = now
 
     app = App(settings, Clock(), random.Random(1), None, _on())
-    app.membership.enter()
-    put(app, r.VIEW, r.View(1, {"winch-0": app.membership.incarnation}), 1)
+    app.membership.ensure_new_incarnation()
+    put(app, r.VIEW_KEY, r.View(1, {"winch-0": app.membership.incarnation}), 1)
     put(app, r.software_key("winch-0"), r.Software(2, "0.3.0", {"rollouts": rc.RECORD_FORMAT}), 2)
     app.replica.end_load(3)
-    app.store.current_at = 5.0
+    app.store.fresh_as_of = 5.0
     return app
 
 
@@ -345,7 +345,7 @@
 
 
 def put(app: App, key: str, value: object, version: int) -> None:
-    app.replica.committed({key: msgspec.json.encode(value)}, [], version)
+    app.replica.apply_commit({key: msgspec.json.encode(value)}, [], version)
 
 
 def post(app: App, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
@@ -395,7 +395,7 @@
     assert ask("/services/web/endpoints?after=9")[0] == 200  # no hold_ms: answers at once
     assert ask("/services/web/endpoints?after=x")[0] == 400
     assert ask("/services/web")[0] == 404
-    app.store.current_at = -60.0
+    app.store.fresh_as_of = -60.0
     assert ask("/services/web/endpoints")[0] == 503  # this node's replica is stale
 
 
