--- a/pulleydeal/metrics.py
+++ b/pulleydeal/metrics.py
@@ -1,4 +1,4 @@
-"""Measures, in the usual text format. Few, cheap, and named by the conventions."""
+"""The node's Prometheus metrics."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -8,13 +8,13 @@
         self.registry = CollectorRegistry(auto_describe=False)
         registry = self.registry
         self.starts = Counter("pulleydeal_task_starts", "Run commands given", registry=registry)
-        self.stops = Counter(
+        self.attempt_ends = Counter(
             "pulleydeal_task_ends",
             "Attempts that ended, by outcome",
             ["outcome"],
             registry=registry,
         )
-        self.refusals = Counter(
+        self.refused_submissions = Counter(
             "pulleydeal_submissions_refused",
             "Submissions not taken, by status",
             ["status"],
@@ -27,7 +27,7 @@
         self.credits = Gauge(
             "pulleydeal_credit_queue_machines", "Credits queued at this node", registry=registry
         )
-        self.asks = Gauge(
+        self.waiting_credit_requests = Gauge(
             "pulleydeal_asks_waiting", "Tasks that wait for credit here", registry=registry
         )
         self.waiting = Gauge(
@@ -44,12 +44,12 @@
             "Requests that the state service refused",
             registry=registry,
         )
-        self.strangers = Gauge(
+        self.rejected_connections = Gauge(
             "pulleydeal_back_refused",
             "Connections between controllers ended for what came over them",
             registry=registry,
         )
-        self.loop_late = Gauge(
+        self.loop_lateness = Gauge(
             "pulleydeal_loop_late_seconds",
             "How late the event loop is: above 0.25 the node puts work off",
             registry=registry,
--- a/pulleydeal/recurring/cli.py
+++ b/pulleydeal/recurring/cli.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from pulleydeal.operators.client import (
-    DEFAULT,
-    VARIABLE,
-    Failed,
-    ask,
-    everything,
-    exit_code,
-    rows,
-    show_json,
+    ADDRESS_VARIABLE,
+    DEFAULT_ADDRESS,
+    RequestFailed,
+    fetch_all,
+    print_json,
+    print_table,
+    run_command,
+    send_request,
 )
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import crontab, mapping, schedule
@@ -63,13 +63,15 @@
             command.add_argument("table")
     for command in commands.choices.values():
         command.add_argument("--json", action="store_true", help="the answer as it came")
-        command.add_argument("--operators", default=os.environ.get(VARIABLE, DEFAULT))
+        command.add_argument(
+            "--operators", default=os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
+        )
     return top
 
 
 def main(argv: list[str]) -> int:
     options = parser().parse_args(argv)
-    return exit_code(lambda: run(options), BadTable)
+    return run_command(lambda: run(options), BadTable)
 
 
 # --- reading -----------------------------------------------------------------------------------
@@ -136,29 +138,29 @@
             return dry_run(entries, rules)
         return import_table(options, text, mapping_text)
     if verb == "list":
-        found = everything(address, "/v1/cron/tables")
+        found = fetch_all(address, "/v1/cron/tables")
         if options.json:
-            return show_json(found)
+            return print_json(found)
         names = ["table", "state", "lines", "leader", "version"]
-        rows("cron tables", names, [[str(x[name]) for name in names] for x in found])
+        print_table("cron tables", names, [[str(x[name]) for name in names] for x in found])
         return 0
     path = f"/v1/cron/tables/{options.table}"
     if verb == "export":
         sys.stdout.buffer.write(export_text(address, path))
         return 0
     if verb == "history":
-        found = everything(address, f"{path}/history")
+        found = fetch_all(address, f"{path}/history")
         if options.json:
-            return show_json(found)
+            return print_json(found)
         for x in found:
             print(
                 f"{format_time(x['at'])}  {x['what']}" + (f": {x['why']}" if x.get("why") else "")
             )
         return 0
     if verb == "next":
-        found = everything(address, f"{path}/lines")
-        return show_json(found) if options.json else show_next(options.table, found)
-    found = ask(address, "POST", f"{path}/{verb}")
+        found = fetch_all(address, f"{path}/lines")
+        return print_json(found) if options.json else show_next(options.table, found)
+    found = send_request(address, "POST", f"{path}/{verb}")
     print(f"{found['table']}: {found['state']}")
     return 0
 
@@ -167,11 +169,11 @@
     address, table = options.operators, options.table
     for at in range(0, max(1, len(text)), kc.UPLOAD_B):
         piece = text[at : at + kc.UPLOAD_B]
-        ask(address, "POST", f"/v1/cron/uploads/{table}?at={at}", piece)
+        send_request(address, "POST", f"/v1/cron/uploads/{table}?at={at}", piece)
     path = f"/v1/cron/tables/{table}"
-    found = ask(address, "POST", path, mapping_text.encode(), IMPORT_TIMEOUT_S)
+    found = send_request(address, "POST", path, mapping_text.encode(), IMPORT_TIMEOUT_S)
     if options.json:
-        return show_json(found)
+        return print_json(found)
     print(
         f"{found['table']}: version {found['version']} is in force: {found['lines']} lines,"
         f" {found['new']} new, {found['gone']} gone"
@@ -180,10 +182,10 @@
 
 
 def export_text(address: str, path: str) -> bytes:
-    table = ask(address, "GET", path)
-    parts = [ask(address, "GET", f"{path}/text/{k}") for k in range(table["parts"])]
+    table = send_request(address, "GET", path)
+    parts = [send_request(address, "GET", f"{path}/text/{k}") for k in range(table["parts"])]
     if any(part["version"] != table["version"] for part in parts):
-        raise Failed("the table was changed meanwhile: export it again")
+        raise RequestFailed("the table was changed meanwhile: export it again")
     return "".join(part["text"] for part in parts).encode()
 
 
@@ -191,8 +193,8 @@
     """Prints added and removed lines; an import keeps the progress of unchanged ones."""
     local = {entry.id: entry for entry in entries}
     try:
-        stored = {row["line"]: row for row in everything(address, f"/v1/cron/tables/{table}/lines")}
-    except Failed as error:
+        stored = {row["line"]: row for row in fetch_all(address, f"/v1/cron/tables/{table}/lines")}
+    except RequestFailed as error:
         if "no table" not in str(error):
             raise
         stored = {}
@@ -243,5 +245,5 @@
         for x in found
     ]
     names = ["line", "schedule", "zone", "next (here)", "jobs", "last job", "note"]
-    rows(table, names, table_rows)
+    print_table(table, names, table_rows)
     return 0
--- a/pulleydeal/recurring/imports.py
+++ b/pulleydeal/recurring/imports.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from pulleydeal.features.routes import Problem
+from pulleydeal.features.routes import ApiError
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import crontab, mapping, tables
 from pulleydeal.recurring import state as st
 from pulleydeal.recurring.crontab import CrontabEntry, Fault
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
-from pulleydeal.submissions.service import refusal
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.submissions.service import rejection_reason
 
 if TYPE_CHECKING:
     from pulleydeal.recurring.service import Recurring
@@ -66,31 +66,31 @@
             upload = self._uploads[table] = Upload(now)
         if upload is None or len(upload.text) != offset:
             received = len(upload.text) if upload else 0
-            raise Problem(
+            raise ApiError(
                 409, "wrong_offset", f"{received} B are here, so the next piece is at {received}"
             )
         if offset + len(piece) > kc.MAX_TABLE_BYTES:
             text = f"a table has {kc.MAX_TABLE_BYTES} B at most"
-            raise Problem(413, "too_large", text)
+            raise ApiError(413, "too_large", text)
         upload.updated_at = now
         upload.text += piece
         return len(upload.text)
 
     async def plan(self, name: str, mapping_text: str) -> ImportPlan:
-        """Parses and checks the uploaded text; raises Problem 422 that lists the faults, if any."""
+        """Parses and checks the uploaded text; raises ApiError 422 with all faults, if any."""
         upload = self._uploads.get(name)
         if upload is None:
-            raise Problem(409, "no_upload", f"upload the text of {name} to this node first")
+            raise ApiError(409, "no_upload", f"upload the text of {name} to this node first")
         text = bytes(upload.text)
         try:
             rules = mapping.parse(mapping_text)
         except mapping.MappingError as error:
-            raise Problem(422, "bad_mapping", str(error)) from error
+            raise ApiError(422, "bad_mapping", str(error)) from error
         entries, faults = crontab.read(text, rules.system)
         faults += await self._faults(rules, entries)
         if faults:
             faults.sort(key=lambda f: (f.line, f.column))
-            raise Problem(422, "bad_table", format_faults(faults))
+            raise ApiError(422, "bad_table", format_faults(faults))
         table = self._service.table(name)
         current_ids: set[str] = set()
         if table is not None and not table.removed:
@@ -109,7 +109,7 @@
     async def _faults(self, rules: mapping.Mapping, entries: list[CrontabEntry]) -> list[Fault]:
         node = self._service.node
         if not node.replica.types:
-            raise Problem(503, "not_ready", "the machine types are not known yet", 1)
+            raise ApiError(503, "not_ready", "the machine types are not known yet", 1)
         now = int(self._service.clock.wall())
         faults: list[Fault] = []
         refusals: dict[object, str] = {}
@@ -124,7 +124,9 @@
             key = (spec.team, spec.kind, spec.tasks, spec.cpus, spec.gpus, spec.memory, spec.zone)
             full_key = (*key, tuple(spec.types or ()))
             if full_key not in refusals:
-                refusals[full_key] = refusal(spec, node.teams, node.replica.types, node.zones)
+                refusals[full_key] = rejection_reason(
+                    spec, node.teams, node.replica.types, node.zones
+                )
             if refusals[full_key]:
                 faults.append(Fault(entry.number, 1, refusals[full_key]))
         return faults
@@ -133,7 +135,7 @@
         """Writes chunks, then progress of new lines, then the table record that takes effect."""
         records = self._service.records
         table = self._service.table(name)
-        read = {st.table_record_name(name): records.mark(st.table_record_name(name))}
+        read = {st.table_record_name(name): records.version(st.table_record_name(name))}
         if table is not None and table.version == plan.version and not table.removed:
             return table
         text_chunks = st.split_chunks(plan.text.decode())
@@ -163,14 +165,14 @@
                 self._service.clock.wall(), summary, f"{plan.removed_count} are gone"
             )
             final_puts = self._service.interface.with_history_entry(name, new, entry)
-            if await records.commit(read, final_puts, turn=Turn.WORK):
+            if await records.commit(read, final_puts, priority=WritePriority.NORMAL):
                 self._uploads.pop(name, None)
                 return new
-        except (Unavailable, Unknown, TimeoutError) as error:
-            raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
+            raise ApiError(503, "unavailable", "the state service can't be asked", 1) from error
         except TooLarge as error:
-            raise Problem(422, "too_large", str(error)) from error
-        raise Problem(409, "moved", f"{name} was changed meanwhile: look, and import again")
+            raise ApiError(422, "too_large", str(error)) from error
+        raise ApiError(409, "moved", f"{name} was changed meanwhile: look, and import again")
 
     async def _init_progress(self, name: str, plan: ImportPlan, now: int) -> None:
         """Settles all instants before the import for new lines, so that none of them fires."""
@@ -186,7 +188,7 @@
                 previous = progress.lines.get(line)
                 job_count = previous.job_count if previous else 0
                 progress.lines[line] = st.LineProgress(now - 1, job_count, 0, plan.version)
-            puts[key], read[key] = progress, self._service.records.mark(key)
+            puts[key], read[key] = progress, self._service.records.version(key)
         await self._commit_in_batches(puts, read)
 
     async def _commit_in_batches(self, puts: dict[str, object], read: dict[str, int]) -> None:
@@ -195,8 +197,10 @@
         while remaining:
             batch, remaining = remaining[: kc.BATCH_CHANGES], remaining[kc.BATCH_CHANGES :]
             conditions = {key: read[key] for key, _ in batch if key in read}
-            if not await self._service.records.commit(conditions, dict(batch), turn=Turn.LATER):
-                raise Problem(409, "moved", "its marks moved meanwhile: import again")
+            if not await self._service.records.commit(
+                conditions, dict(batch), priority=WritePriority.BACKGROUND
+            ):
+                raise ApiError(409, "moved", "its marks moved meanwhile: import again")
 
     async def sweep(self, name: str, table: st.Table) -> bool:
         """Deletes up to BATCH_CHANGES records not in force; False if none was deleted."""
@@ -212,5 +216,7 @@
             obsolete += records.names(f"k/{name}/")
         if not obsolete:
             return False
-        read = {st.table_record_name(name): records.mark(st.table_record_name(name))}
-        return await records.commit(read, {}, sorted(obsolete)[: kc.BATCH_CHANGES], turn=Turn.LATER)
+        read = {st.table_record_name(name): records.version(st.table_record_name(name))}
+        return await records.commit(
+            read, {}, sorted(obsolete)[: kc.BATCH_CHANGES], priority=WritePriority.BACKGROUND
+        )
--- a/pulleydeal/recurring/interface.py
+++ b/pulleydeal/recurring/interface.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from pulleydeal.features.routes import Asked, Problem, Route, page
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, paginate
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import decide, tables
 from pulleydeal.recurring import state as st
 from pulleydeal.recurring.imports import TableImporter
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 
 if TYPE_CHECKING:
     from pulleydeal.recurring.service import Recurring
@@ -59,45 +59,45 @@
         key = st.history_record_name(name, number % kc.MAX_HISTORY_ENTRIES)
         return {st.table_record_name(name): updated, key: entry}
 
-    def _table_name(self, request: Asked) -> str:
+    def _table_name(self, request: RoutedRequest) -> str:
         name = request.params["table"]
         if not TABLE_NAME.match(name):
             text = f"{name!r}: a table's name has small letters, digits, . _ -, 40 at most"
-            raise Problem(400, "bad_name", text)
+            raise ApiError(400, "bad_name", text)
         return name
 
-    def _existing_table(self, request: Asked) -> tuple[str, st.Table]:
+    def _existing_table(self, request: RoutedRequest) -> tuple[str, st.Table]:
         name = self._table_name(request)
         if not self._service.replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", 1)
+            raise ApiError(503, "not_ready", "the state is still being read", 1)
         table = self._service.table(name)
         if table is None or table.removed:
-            raise Problem(404, "no_such_table", f"no table {name!r}")
+            raise ApiError(404, "no_such_table", f"no table {name!r}")
         return name, table
 
     def _require_ready(self) -> None:
         if not self._service.records.ready:
             text = "not every node has shown that it has recurring jobs on, with this tzdata"
-            raise Problem(503, "not_everywhere", text, 1)
+            raise ApiError(503, "not_everywhere", text, 1)
 
     # --- importing ----------------------------------------------------------------------------
-    async def _upload(self, request: Asked) -> Any:
+    async def _upload(self, request: RoutedRequest) -> Any:
         at = request.query.get("at", "0")
         if not at.isdecimal():
-            raise Problem(400, "bad_query", "at must be a whole number")
+            raise ApiError(400, "bad_query", "at must be a whole number")
         return {"has": self.imports.upload(self._table_name(request), int(at), request.body)}
 
-    def _mapping_text(self, request: Asked) -> str:
+    def _mapping_text(self, request: RoutedRequest) -> str:
         try:
             return request.body.decode()
         except UnicodeDecodeError as error:
-            raise Problem(400, "bad_mapping", f"not UTF-8: {error}") from error
+            raise ApiError(400, "bad_mapping", f"not UTF-8: {error}") from error
 
-    async def _check(self, request: Asked) -> Any:
+    async def _check(self, request: RoutedRequest) -> Any:
         plan = await self.imports.plan(self._table_name(request), self._mapping_text(request))
         return {"lines": plan.line_count, "new": len(plan.new_lines), "gone": plan.removed_count}
 
-    async def _import(self, request: Asked) -> Any:
+    async def _import(self, request: RoutedRequest) -> Any:
         self._require_ready()
         name = self._table_name(request)
         plan = await self.imports.plan(name, self._mapping_text(request))
@@ -111,10 +111,10 @@
         }
 
     # --- reading ------------------------------------------------------------------------------
-    async def _list(self, request: Asked) -> Any:
+    async def _list(self, request: RoutedRequest) -> Any:
         by_name = {name: self._service.table(name) for name in self._service.table_names()}
         listed = [name for name, table in by_name.items() if table and not table.removed]
-        return page(request, listed, self._summary)
+        return paginate(request, listed, self._summary)
 
     def _summary(self, name: str) -> dict[str, Any]:
         table = self._service.table(name)
@@ -126,18 +126,18 @@
         found = {"table": name, "state": state, "lines": table.lines, "leader": leader}
         return found | {"version": table.version, "at": table.at}
 
-    async def _show(self, request: Asked) -> Any:
+    async def _show(self, request: RoutedRequest) -> Any:
         name, table = self._existing_table(request)
         sizes = {"parts": table.parts, "mapping_parts": table.mapping_parts}
         return self._summary(name) | sizes
 
-    async def _lines(self, request: Asked) -> Any:
+    async def _lines(self, request: RoutedRequest) -> Any:
         name, table = self._existing_table(request)
         try:
             stored = tables.stored_text(self._service.records, name, table)
             lines, _ = await tables.parse_lines(*stored)
         except tables.UnusableTable as error:
-            raise Problem(503, "broken", str(error)) from error
+            raise ApiError(503, "broken", str(error)) from error
         by_number = {f"{line.number:07d}": line for line in lines}
 
         def describe(number: str) -> dict[str, Any]:
@@ -160,9 +160,9 @@
                 "note": progress.note if progress else "",
             }
 
-        return page(request, by_number, describe)
+        return paginate(request, by_number, describe)
 
-    async def _history(self, request: Asked) -> Any:
+    async def _history(self, request: RoutedRequest) -> Any:
         name, table = self._existing_table(request)
         first = max(1, table.entries - kc.MAX_HISTORY_ENTRIES + 1)
         numbers = {f"{n:08d}": n for n in range(first, table.entries + 1)}
@@ -172,15 +172,15 @@
             entry = self._service.records.get(key, st.HistoryEntry)
             return {"number": number} | dict(msgspec.to_builtins(entry))
 
-        return page(request, numbers, describe)
+        return paginate(request, numbers, describe)
 
-    async def _text_part(self, request: Asked) -> Any:
+    async def _text_part(self, request: RoutedRequest) -> Any:
         return self._stored_part(request, "p")
 
-    async def _mapping_part(self, request: Asked) -> Any:
+    async def _mapping_part(self, request: RoutedRequest) -> Any:
         return self._stored_part(request, "m")
 
-    def _stored_part(self, request: Asked, kind: st.ChunkKind) -> Any:
+    def _stored_part(self, request: RoutedRequest, kind: st.ChunkKind) -> Any:
         name, table = self._existing_table(request)
         part = request.params["part"]
         text = None
@@ -188,11 +188,11 @@
             key = st.chunk_record_name(kind, name, table.version, int(part))
             text = self._service.records.get(key, str)
         if text is None:
-            raise Problem(404, "no_such_part", f"no part {part} of {name}")
+            raise ApiError(404, "no_such_part", f"no part {part} of {name}")
         return {"version": table.version, "text": text}
 
     # --- changing -----------------------------------------------------------------------------
-    async def _change(self, request: Asked, new_state: str, **changes: Any) -> Any:
+    async def _change(self, request: RoutedRequest, new_state: str, **changes: Any) -> Any:
         self._require_ready()
         name, table = self._existing_table(request)
         updated = msgspec.structs.replace(table, **changes)
@@ -200,27 +200,27 @@
             return self._summary(name)
         entry = st.HistoryEntry(self._service.clock.wall(), f"{new_state}, asked by an operator")
         conditions = {
-            st.table_record_name(name): self._service.records.mark(st.table_record_name(name))
+            st.table_record_name(name): self._service.records.version(st.table_record_name(name))
         }
         try:
             committed = await self._service.records.commit(
                 conditions, self.with_history_entry(name, updated, entry)
             )
-        except (Unavailable, Unknown, TimeoutError) as error:
-            raise Problem(503, "unavailable", "the state service can't be asked", 1) from error
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
+            raise ApiError(503, "unavailable", "the state service can't be asked", 1) from error
         if not committed:
-            raise Problem(409, "moved", f"{name} was changed meanwhile: look, and ask again")
+            raise ApiError(409, "moved", f"{name} was changed meanwhile: look, and ask again")
         return {"table": name, "state": new_state}
 
-    async def _pause(self, request: Asked) -> Any:
+    async def _pause(self, request: RoutedRequest) -> Any:
         return await self._change(request, "paused", paused=True)
 
-    async def _resume(self, request: Asked) -> Any:
+    async def _resume(self, request: RoutedRequest) -> Any:
         _, table = self._existing_table(request)
         if not table.paused:
             return await self._change(request, "resumed")
         now = int(self._service.clock.wall())
         return await self._change(request, "resumed", paused=False, resumed=now)
 
-    async def _remove(self, request: Asked) -> Any:
+    async def _remove(self, request: RoutedRequest) -> Any:
         return await self._change(request, "removed", removed=True)
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -9,7 +9,7 @@
 
 from prometheus_client import Histogram
 
-from pulleydeal.features.context import Handler, Service, Step
+from pulleydeal.features.context import Handler, NodeContext, Step
 from pulleydeal.features.records import Records
 from pulleydeal.features.routes import Route
 from pulleydeal.recurring import constants as kc
@@ -18,10 +18,10 @@
 from pulleydeal.recurring.decide import DueLine, JumpFilteredClock, Line, Outcome
 from pulleydeal.recurring.tables import LoadedTable
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
-from pulleydeal.submissions.service import refusal
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.submissions.service import rejection_reason
 
 log = logging.getLogger("pulleydeal.recurring")
 LOG_FIELDS = {"feature": "recurring"}
@@ -40,7 +40,7 @@
 class Recurring:
     """The recurring-jobs feature of a node: loads the tables it leads and fires their lines."""
 
-    def __init__(self, node: Service) -> None:
+    def __init__(self, node: NodeContext) -> None:
         from pulleydeal.recurring.interface import Interface
 
         self.node = node
@@ -114,7 +114,7 @@
         """Looks for records not in force every SWEEP_INTERVAL_S and deletes them in batches."""
         now = self.clock.now()
         if now >= self._next_sweep_at.get(name, now + kc.SWEEP_INTERVAL_S):
-            with contextlib.suppress(Unavailable, Unknown, TimeoutError):
+            with contextlib.suppress(Unavailable, OutcomeUnknown, TimeoutError):
                 if await self.interface.imports.sweep(name, table):
                     self._next_sweep_at[name] = now
                     return
@@ -151,7 +151,7 @@
                 batch = self._take_batch(loaded, due)
                 try:
                     committed = await self._commit_batch(loaded, batch, now)
-                except (Unavailable, Unknown, TimeoutError, TooLarge) as error:
+                except (Unavailable, OutcomeUnknown, TimeoutError, TooLarge) as error:
                     log.debug("cron table %s: transaction not confirmed: %s", loaded.name, error)
                     committed = False
                 # Written lines get their next instant. After a failure all lines are scheduled
@@ -227,12 +227,12 @@
                     f"line {due_line.line.number} {outcome.action}{since}: {outcome.reason}"
                 )
         conditions = {
-            st.bucket_record_name(name, number): self.records.mark(
+            st.bucket_record_name(name, number): self.records.version(
                 st.bucket_record_name(name, number)
             )
             for number in buckets
         }
-        conditions[st.table_record_name(name)] = self.records.mark(st.table_record_name(name))
+        conditions[st.table_record_name(name)] = self.records.version(st.table_record_name(name))
         puts: dict[str, object] = {
             st.bucket_record_name(name, number): bucket_record
             for number, bucket_record in buckets.items()
@@ -243,7 +243,9 @@
                 self.clock.wall(), f"{len(notes)} instants without a job", details
             )
             puts |= self.interface.with_history_entry(name, table, entry)
-        if not await self.records.commit(conditions, puts, [], job_puts, job_reads, Turn.LATER):
+        if not await self.records.commit(
+            conditions, puts, [], job_puts, job_reads, WritePriority.BACKGROUND
+        ):
             return False
         for line, outcome in started:
             lateness_s = max(0.0, self.clock.wall() - outcome.instant)
@@ -268,9 +270,9 @@
             job = self.replica.jobs.get(st.job_id(name, due_line.line.id, progress.last_job_at))
             previous_open = job is not None and not job.is_over
         spec = due_line.line.job.spec("j-0")
-        refusal_reason = refusal(spec, self.node.teams, self.replica.types, self.node.zones)
+        rejection = rejection_reason(spec, self.node.teams, self.replica.types, self.node.zones)
         return decide.evaluate(
-            due_line.line, progress, due_line.instant, now, previous_open, refusal_reason
+            due_line.line, progress, due_line.instant, now, previous_open, rejection
         )
 
     def _add_job(
@@ -292,7 +294,10 @@
         previous = self.replica.jobs.get(st.job_id(name, line.id, progress.last_job_at))
         if previous is not None and previous.record is not None and previous.record.state == "open":
             key = r.job_key(previous.id)
-            job_puts[key] = r.cancelled(
-                previous.record, previous.spec, now, self.node.keeping.holds_back()
+            job_puts[key] = r.cancelled_record(
+                previous.record,
+                previous.spec,
+                now,
+                self.node.partition_policy.defers_cancellations(),
             )
             job_reads[key] = previous.version
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
+from pulleydeal.http import Client, NoResponse, Request, Response, Server, json_response
 from pulleydeal.store import records as r
-from pulleydeal.submissions.messages import described
+from pulleydeal.submissions.messages import as_submission
 
 EVERY_S = 3.0  # between two registrations of a copy
 
@@ -73,7 +73,7 @@
             self.served += 1
         status = 200 if good else 500
         self.answered[status] = self.answered.get(status, 0) + 1
-        return answer(status, {"image": self.image})
+        return json_response(status, {"image": self.image})
 
     async def run(self) -> None:
         self.began = self.clock.now()
@@ -107,7 +107,7 @@
                     at, wait = reply["leader"], 0.1
                 else:
                     at, wait = names[(names.index(at) + 1) % len(names)], 0.5
-            except (NoAnswer, ValueError):
+            except (NoResponse, ValueError):
                 at, wait = names[(names.index(at) + 1) % len(names)], 0.5
             finally:
                 client.close()
@@ -165,5 +165,5 @@
     spec = found[0].get("spec") if found else None
     if spec is None:
         return None
-    words = described(msgspec.convert(spec, r.JobSpec))
+    words = as_submission(msgspec.convert(spec, r.JobSpec))
     return words | {"_run_s": words["haul_s"]}
