--- a/experiments/cron.py
+++ b/experiments/cron.py
@@ -42,8 +42,8 @@
     """Seconds until the table is in force."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    for at in range(0, len(text), kc.UPLOAD_B):
-        piece = text[at : at + kc.UPLOAD_B]
+    for at in range(0, len(text), kc.UPLOAD_PIECE_BYTES):
+        piece = text[at : at + kc.UPLOAD_PIECE_BYTES]
         await asyncio.to_thread(
             send_request, address, "POST", f"/v1/cron/uploads/big?at={at}", piece
         )
--- a/experiments/cronyear.py
+++ b/experiments/cronyear.py
@@ -39,7 +39,7 @@
     world.trouble, world.down_until = 0.0, 0.0
     await live(world, nodes, end + 130.0, trouble=False)
     took = time.monotonic() - started
-    entries, _ = crontab.read(text)
+    entries, _ = crontab.parse(text)
     years = {zone: Year(zone, begin - 30 - DAY, end + 200) for zone in ZONES}
     firings = {e.id: years[e.zone].firings(e.schedule) for e in entries}
     due = wanted("office", _between(firings, begin, end))
--- a/pulleydeal/recurring/cli.py
+++ b/pulleydeal/recurring/cli.py
@@ -114,7 +114,7 @@
         raise BadTable([f"{mapping_path}: {error}"]) from error
     except mapping.MappingError as error:
         raise BadTable([str(error)]) from error
-    entries, faults = crontab.read(text, rules.system)
+    entries, faults = crontab.parse(text, rules.system)
     now = int(time.time())
     for entry in entries:
         faults += mapping.check(rules, entry, now)[1]
@@ -167,8 +167,8 @@
 
 def import_table(options: argparse.Namespace, text: bytes, mapping_text: str) -> int:
     address, table = options.operators, options.table
-    for at in range(0, max(1, len(text)), kc.UPLOAD_B):
-        piece = text[at : at + kc.UPLOAD_B]
+    for at in range(0, max(1, len(text)), kc.UPLOAD_PIECE_BYTES):
+        piece = text[at : at + kc.UPLOAD_PIECE_BYTES]
         send_request(address, "POST", f"/v1/cron/uploads/{table}?at={at}", piece)
     path = f"/v1/cron/tables/{table}"
     found = send_request(address, "POST", path, mapping_text.encode(), IMPORT_TIMEOUT_S)
--- a/pulleydeal/recurring/crontab.py
+++ b/pulleydeal/recurring/crontab.py
@@ -64,7 +64,7 @@
     overrides: dict[str, str] = field(default_factory=dict)
 
 
-def read(raw: bytes, system: bool = False) -> tuple[list[CrontabEntry], list[Fault]]:
+def parse(raw: bytes, system: bool = False) -> tuple[list[CrontabEntry], list[Fault]]:
     """Returns all entries and all faults; with any fault, none of the entries may be used."""
     parser = _Parser(system)
     if len(raw) > kc.MAX_TABLE_BYTES:
--- a/pulleydeal/recurring/imports.py
+++ b/pulleydeal/recurring/importer.py
@@ -86,7 +86,7 @@
             rules = mapping.parse(mapping_text)
         except mapping.MappingError as error:
             raise ApiError(422, "bad_mapping", str(error)) from error
-        entries, faults = crontab.read(text, rules.system)
+        entries, faults = crontab.parse(text, rules.system)
         faults += await self._faults(rules, entries)
         if faults:
             faults.sort(key=lambda f: (f.line, f.column))
@@ -131,7 +131,7 @@
                 faults.append(Fault(entry.number, 1, refusals[full_key]))
         return faults
 
-    async def carry_out(self, name: str, plan: ImportPlan) -> st.Table:
+    async def apply(self, name: str, plan: ImportPlan) -> st.Table:
         """Writes chunks, then progress of new lines, then the table record that takes effect."""
         records = self._service.records
         table = self._service.table(name)
--- a/pulleydeal/recurring/interface.py
+++ b/pulleydeal/recurring/interface.py
@@ -9,7 +9,7 @@
 from pulleydeal.recurring import constants as kc
 from pulleydeal.recurring import decide, tables
 from pulleydeal.recurring import state as st
-from pulleydeal.recurring.imports import TableImporter
+from pulleydeal.recurring.importer import TableImporter
 from pulleydeal.store.client import OutcomeUnknown, Unavailable
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
 
     def __init__(self, recurring: "Recurring") -> None:
         self._service = recurring
-        self.imports = TableImporter(recurring)
+        self.importer = TableImporter(recurring)
 
     def routes(self) -> list[Route]:
         table_path = "/v1/cron/tables/{table}"
@@ -85,7 +85,7 @@
         at = request.query.get("at", "0")
         if not at.isdecimal():
             raise ApiError(400, "bad_query", "at must be a whole number")
-        return {"has": self.imports.upload(self._table_name(request), int(at), request.body)}
+        return {"has": self.importer.upload(self._table_name(request), int(at), request.body)}
 
     def _mapping_text(self, request: RoutedRequest) -> str:
         try:
@@ -94,14 +94,14 @@
             raise ApiError(400, "bad_mapping", f"not UTF-8: {error}") from error
 
     async def _check(self, request: RoutedRequest) -> Any:
-        plan = await self.imports.plan(self._table_name(request), self._mapping_text(request))
+        plan = await self.importer.plan(self._table_name(request), self._mapping_text(request))
         return {"lines": plan.line_count, "new": len(plan.new_lines), "gone": plan.removed_count}
 
     async def _import(self, request: RoutedRequest) -> Any:
         self._require_ready()
         name = self._table_name(request)
-        plan = await self.imports.plan(name, self._mapping_text(request))
-        table = await self.imports.carry_out(name, plan)
+        plan = await self.importer.plan(name, self._mapping_text(request))
+        table = await self.importer.apply(name, plan)
         return {
             "table": name,
             "version": table.version,
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -47,7 +47,7 @@
         self.clock = node.clock
         self.replica = node.replica
         self.records = Records("recurring", advertised_format(), node.membership, node.store)
-        self.loaded: dict[str, LoadedTable] = {}
+        self.loaded_tables: dict[str, LoadedTable] = {}
         self.load_errors: dict[str, str] = {}  # table -> why it can't be loaded
         self.fired = 0  # jobs started by this node
         self._lateness = Histogram(
@@ -88,23 +88,23 @@
     # --- firing -------------------------------------------------------------------------------
     async def tick(self) -> None:
         await asyncio.sleep(kc.POLL_INTERVAL_S)
-        await self.round()
+        await self.fire_due_lines()
 
-    async def round(self) -> None:
+    async def fire_due_lines(self) -> None:
         """Fires all due lines of the tables that this node leads."""
         now = self._wall_clock.now(self.clock.now(), self.clock.wall())
         if not self.records.ready:
-            self.loaded.clear()
+            self.loaded_tables.clear()
             return
         led = {name for name in self.table_names() if self.records.leads(name)}
-        for name in [name for name in self.loaded if name not in led]:
-            del self.loaded[name]
+        for name in [name for name in self.loaded_tables if name not in led]:
+            del self.loaded_tables[name]
         for name in sorted(led):
             table = self.table(name)
             if table is not None:
                 await self._sweep(name, table)
             if table is None or table.removed or table.paused:
-                self.loaded.pop(name, None)
+                self.loaded_tables.pop(name, None)
                 continue
             loaded = await self._load(name, table)
             if loaded is not None:
@@ -115,7 +115,7 @@
         now = self.clock.now()
         if now >= self._next_sweep_at.get(name, now + kc.SWEEP_INTERVAL_S):
             with contextlib.suppress(Unavailable, OutcomeUnknown, TimeoutError):
-                if await self.interface.imports.sweep(name, table):
+                if await self.interface.importer.sweep(name, table):
                     self._next_sweep_at[name] = now
                     return
         elif name in self._next_sweep_at:
@@ -123,13 +123,13 @@
         self._next_sweep_at[name] = now + kc.SWEEP_INTERVAL_S
 
     async def _load(self, name: str, table: st.Table) -> LoadedTable | None:
-        loaded = self.loaded.get(name)
+        loaded = self.loaded_tables.get(name)
         if loaded is not None and loaded.matches(table):
             return loaded
         try:
-            loaded = self.loaded[name] = await tables.load(self.records, name, table)
+            loaded = self.loaded_tables[name] = await tables.load(self.records, name, table)
         except (tables.UnusableTable, ValueError) as error:
-            self.loaded.pop(name, None)
+            self.loaded_tables.pop(name, None)
             if self.load_errors.get(name) != str(error):
                 self.load_errors[name] = str(error)
                 log.error("cannot load cron table %s: %s", name, error, extra=LOG_FIELDS)
@@ -161,7 +161,7 @@
                     self._reschedule(loaded, due_line.line)
                 if not committed:
                     return
-                if self.loaded.get(loaded.name) is not loaded:
+                if self.loaded_tables.get(loaded.name) is not loaded:
                     return
 
     def _reschedule(self, loaded: LoadedTable, line: Line) -> None:
--- a/pulleydeal/recurring/tables.py
+++ b/pulleydeal/recurring/tables.py
@@ -77,7 +77,7 @@
 async def parse_lines(text: bytes, mapping_text: str) -> tuple[list[Line], mapping.Mapping]:
     """Parses all lines and their jobs; the jobs in slices, to keep the event loop responsive."""
     rules = mapping.parse(mapping_text)
-    entries, faults = crontab.read(text, rules.system)
+    entries, faults = crontab.parse(text, rules.system)
     if faults:
         raise UnusableTable(f"line {faults[0].line}: {faults[0].text}")
     lines = []
--- a/standins/cron_engine.py
+++ b/standins/cron_engine.py
@@ -145,17 +145,17 @@
         return done
 
     async def look(self) -> None:
-        """One round of the service at this moment."""
+        """Fires what is due at this moment."""
         self.follow()
-        await self.recurring.round()
+        await self.recurring.fire_due_lines()
 
 
 async def bring_in(node: Node, table: str, text: bytes, mapping: str) -> None:
-    imports = node.recurring.interface.imports
+    importer = node.recurring.interface.importer
     node.follow()
-    imports.upload(table, 0, text)
-    plan = await imports.plan(table, mapping)
-    await imports.carry_out(table, plan)
+    importer.upload(table, 0, text)
+    plan = await importer.plan(table, mapping)
+    await importer.apply(table, plan)
 
 
 def next_instant(nodes: list[Node]) -> float | None:
@@ -163,7 +163,7 @@
     found = [
         loaded.queue[0][0]
         for node in nodes
-        for loaded in node.recurring.loaded.values()
+        for loaded in node.recurring.loaded_tables.values()
         if loaded.queue
     ]
     return min(found, default=None)
@@ -188,7 +188,7 @@
             elif luck < 0.035:  # all nodes are down, and come back with nothing
                 world.now += rng.uniform(1.0, 100.0)
                 for node in nodes:
-                    node.recurring.loaded.clear()
+                    node.recurring.loaded_tables.clear()
         world.catch_up()
         for node in nodes:
             await node.look()
--- a/tests/test_cron.py
+++ b/tests/test_cron.py
@@ -31,7 +31,7 @@
 
 # --- parsing ---------------------------------------------------------------------------------
 def test_table_is_parsed_as_cron_parses_it() -> None:
-    entries, faults = crontab.read(TABLE.read_bytes())
+    entries, faults = crontab.parse(TABLE.read_bytes())
     assert faults == []
     by_command = {entry.command: entry for entry in entries}
     nightly = by_command["/usr/local/bin/rescore --all > /var/log/rescore 2>&1"]
@@ -71,7 +71,7 @@
 def test_invalid_lines_are_rejected_with_line_and_column(
     line: str, column: int, message: str
 ) -> None:
-    entries, faults = crontab.read(f"# first\n\n{line}\n* * * * * good\n".encode())
+    entries, faults = crontab.parse(f"# first\n\n{line}\n* * * * * good\n".encode())
     assert [(f.line, f.column) for f in faults] == [(3, column)]
     assert faults[0].text.startswith(message)
     assert entries  # parsing goes on after a fault, so that all are reported at once
@@ -79,18 +79,18 @@
 
 def test_all_faults_are_reported_at_once_including_invalid_utf_8() -> None:
     raw = b"61 * * * * a\n* 25 * * * b\n\xff\xfe\n# pulleydeal: priority\n* * * * * c"
-    _, faults = crontab.read(raw)
+    _, faults = crontab.parse(raw)
     assert [f.line for f in faults] == [1, 2, 3, 4, 5]
     assert "does not end" in faults[4].text and "not UTF-8" in faults[2].text
 
 
 def test_system_table_lines_name_a_user() -> None:
-    entries, faults = crontab.read(b"17 * * * * root run-parts /etc/cron.hourly\n", system=True)
+    entries, faults = crontab.parse(b"17 * * * * root run-parts /etc/cron.hourly\n", system=True)
     assert faults == [] and (entries[0].user, entries[0].command) == (
         "root",
         "run-parts /etc/cron.hourly",
     )
-    assert crontab.read(b"17 * * * *\n", system=True)[1][0].text.startswith("a system table")
+    assert crontab.parse(b"17 * * * *\n", system=True)[1][0].text.startswith("a system table")
 
 
 def test_percent_signs_are_handled_as_in_cron() -> None:
@@ -100,11 +100,11 @@
 
 
 def test_ids_are_stable_for_unchanged_lines_and_differ_for_equal_lines() -> None:
-    before, _ = crontab.read(b"0 1 * * * a\n0 2 * * * b\n0 2 * * * b\n")
-    after, _ = crontab.read(b"# moved\n0 2 * * * b\nX=1\n0 3 * * * c\n0 2 * * * b\n0 1 * * * a\n")
+    before, _ = crontab.parse(b"0 1 * * * a\n0 2 * * * b\n0 2 * * * b\n")
+    after, _ = crontab.parse(b"# moved\n0 2 * * * b\nX=1\n0 3 * * * c\n0 2 * * * b\n0 1 * * * a\n")
     assert len({e.id for e in before}) == 3
     assert {e.id for e in before} < {e.id for e in after}
-    other, _ = crontab.read(b"CRON_TZ=UTC\n0 1 * * * a\n")
+    other, _ = crontab.parse(b"CRON_TZ=UTC\n0 1 * * * a\n")
     assert other[0].id != before[0].id
 
 
@@ -123,7 +123,7 @@
     raw = MAPPING + "[user.ml]\nkind = 'gang'\ntasks = 4\n"
     rules = mapping.parse("system = true\n" + raw)
     table = b"# pulleydeal: tasks=2 priority=high types=t4+t8\n0 1 * * * ml train\n0 2 * * * ml x\n"
-    entries, _ = crontab.read(table, True)
+    entries, _ = crontab.parse(table, True)
     jobs = [mapping.job_of(rules, entry) for entry in entries]
     assert [(j.kind, j.tasks, j.priority, j.types) for j in jobs] == [
         ("gang", 2, "high", ["t4", "t8"]),
@@ -152,7 +152,7 @@
     table = (
         b"0 0 30 2 * x\n# pulleydeal: colour=red\n0 0 * * * y\n# pulleydeal: tasks=0\n0 0 * * * z\n"
     )
-    entries, _ = crontab.read(table)
+    entries, _ = crontab.parse(table)
     faults_by_line = [mapping.check(rules, entry, 1_800_000_000)[1] for entry in entries]
     assert [len(faults) for faults in faults_by_line] == [1, 1, 1]
     assert "colour" in faults_by_line[1][0].text and "tasks" in faults_by_line[2][0].text
@@ -221,7 +221,7 @@
 
 # --- outcomes of instants ----------------------------------------------------------------------
 def line(expression: str = "0 * * * *", **rules: object) -> Line:
-    job = mapping.job_of(mapping.parse(MAPPING), crontab.read(b"0 0 * * * x\n")[0][0])
+    job = mapping.job_of(mapping.parse(MAPPING), crontab.parse(b"0 0 * * * x\n")[0][0])
     changed = msgspec.structs.replace(job, **rules)
     return Line("0" * 16, 1, expression, "UTC", changed)
 
--- a/tests/test_cron_engine.py
+++ b/tests/test_cron_engine.py
@@ -37,7 +37,7 @@
 
 
 def expected(text: bytes, first: int, last: int) -> dict[str, list[int]]:
-    entries, faults = crontab.read(text)
+    entries, faults = crontab.parse(text)
     assert faults == []
     aligned = first - first % 60 - DAY
     years = {zone: cron_expected.Year(zone, aligned, last) for zone in ZONES}
@@ -90,7 +90,7 @@
         return world, node
 
     world, node = asyncio.run(run())
-    entries, _ = crontab.read(text)
+    entries, _ = crontab.parse(text)
     progress_by_line = [node.recurring.progress("office", entry.id) for entry in entries]
     # Two before and one after the outage; the second line also fires its latest missed instant.
     assert [progress.job_count for progress in progress_by_line if progress] == [3, 4]
@@ -106,16 +106,16 @@
         text = b"0 * * * * x\n"
         for node in (a, b):
             node.follow()
-            node.recurring.interface.imports.upload("office", 0, text)
-        plans = [await n.recurring.interface.imports.plan("office", MAPPING) for n in (a, b)]
+            node.recurring.interface.importer.upload("office", 0, text)
+        plans = [await n.recurring.interface.importer.plan("office", MAPPING) for n in (a, b)]
         assert plans[0].version == plans[1].version
-        await a.recurring.interface.imports.carry_out("office", plans[0])
+        await a.recurring.interface.importer.apply("office", plans[0])
         with pytest.raises(ApiError) as caught:
             # It read before the other import was written: nothing is imported.
-            await b.recurring.interface.imports.carry_out("office", plans[1])
+            await b.recurring.interface.importer.apply("office", plans[1])
         assert caught.value.code == "moved"
         b.follow()
-        table = await b.recurring.interface.imports.carry_out("office", plans[1])
+        table = await b.recurring.interface.importer.apply("office", plans[1])
         assert table.version == plans[0].version and table.entries == 1
 
     asyncio.run(run())
@@ -130,9 +130,9 @@
         node = Node("a", world, 0.0)
         node.follow()
         before = world.revision
-        node.recurring.interface.imports.upload("big", 0, ("\n".join(lines) + "\n").encode())
+        node.recurring.interface.importer.upload("big", 0, ("\n".join(lines) + "\n").encode())
         with pytest.raises(ApiError) as caught:
-            await node.recurring.interface.imports.plan("big", MAPPING)
+            await node.recurring.interface.importer.plan("big", MAPPING)
         assert caught.value.status == 422 and caught.value.message.startswith("7771:1: ")
         assert len(caught.value.message.splitlines()) == 1
         assert world.revision == before  # nothing was written
