--- a/experiments/cron.py
+++ b/experiments/cron.py
@@ -13,7 +13,7 @@
 from experiments.overload import Users
 from experiments.processes import cpu_s, memory_mb
 from experiments.report import Plot, Report
-from pulleydeal.operators.client import ask
+from pulleydeal.operators.client import send_request
 from pulleydeal.recurring import constants as kc
 from standins.town import Town
 
@@ -42,14 +42,16 @@
 
 
 async def import_table(address: str, text: bytes) -> float:
-    """Uploads the table in chunks and activates it; returns the seconds that this took."""
+    """Uploads the table in pieces and activates it; returns the seconds that this took."""
     loop = asyncio.get_running_loop()
     started = loop.time()
-    for at in range(0, len(text), kc.UPLOAD_B):
-        chunk = text[at : at + kc.UPLOAD_B]
-        await asyncio.to_thread(ask, address, "POST", f"/v1/cron/uploads/big?at={at}", chunk)
+    for at in range(0, len(text), kc.UPLOAD_PIECE_BYTES):
+        piece = text[at : at + kc.UPLOAD_PIECE_BYTES]
+        await asyncio.to_thread(
+            send_request, address, "POST", f"/v1/cron/uploads/big?at={at}", piece
+        )
     path = "/v1/cron/tables/big"
-    await asyncio.to_thread(ask, address, "POST", path, MAPPING.encode(), 600.0)
+    await asyncio.to_thread(send_request, address, "POST", path, MAPPING.encode(), 600.0)
     return loop.time() - started
 
 
--- a/experiments/overload.py
+++ b/experiments/overload.py
@@ -9,7 +9,7 @@
 from experiments.load import LoadResult, generate_load
 from experiments.report import Plot, Report
 from pulleydeal import constants as c
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.town import Town, job
 
 ABOUT = "submissions at 0.5 to 4 times the write rate, three nodes, open loop, no retries"
@@ -34,7 +34,7 @@
         )
         try:
             status, _ = await client.request("POST", "/submissions", body, SUBMIT_TIMEOUT_S)
-        except NoAnswer:
+        except NoResponse:
             return "none"
         return str(status)
 
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -30,13 +30,13 @@
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
-from pulleydeal.membership.messages import ASK, FREE, HOLD, Total
+from pulleydeal.membership.messages import ASK, FREE, HOLD, CreditTotal
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
-from pulleydeal.store.reasons import made_room
+from pulleydeal.store.reasons import preemption_reason
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
@@ -85,7 +85,7 @@
         self._reserved_machine: dict[TaskId, str] = {}
         self._images = ImageLocations(membership, siblings, replica, clock, self._mark_dirty)
         self._builder = CreditBuilder(replica, self._images, objectives, clock, workers.silent)
-        self._published: list[Total] = []
+        self._published: list[CreditTotal] = []
         self._published_at = -1e9
         self._unpublished = False
         self._silence_sweep = Sweep(self._all_machines)
@@ -95,7 +95,7 @@
         siblings.on(FREE, self._on_release)
         workers.on_credit_change = self._mark_dirty
         membership.totals = lambda: self._published
-        replica.listen(self._on_change)
+        replica.add_listener(self._on_change)
 
     def _mark_dirty(self, machine: str) -> None:
         self._dirty.add(machine)
@@ -188,7 +188,7 @@
         for key in [key for key, waiting in self._waiting.items() if waiting.expires_at < now]:
             del self._waiting[key]
         for key, held in list(self._holds.items()):
-            if held.until < now or key in self._replica.bound.get(held.machine, {}):
+            if held.until < now or key in self._replica.tasks_by_machine.get(held.machine, {}):
                 self._release_hold(key)
         for machine, (key, until) in list(self._reservations.items()):
             # A task that went elsewhere, or may no longer run here, must not keep the reservation:
@@ -285,7 +285,7 @@
             has_reservation = key in self._reserved_machine
             attempt_kind = (is_full_scan, may_preempt, *signature(waiting.request))
             if is_full_scan:
-                delay_s = c.LOOK_AGAIN_S if may_preempt else c.PREEMPT_AFTER_S
+                delay_s = c.FULL_RESCAN_S if may_preempt else c.PREEMPT_AFTER_S
                 waiting.rescan_at = now + delay_s
             if not has_reservation and attempt_kind in failed:
                 continue
@@ -357,7 +357,7 @@
         spec = job.record.spec if job is not None and job.record is not None else None
         if job is None or spec is None or spec.priority >= request.priority:
             return request
-        is_near = job.due - job.estimate_s - self._clock.wall() < c.CHAIN_STOP_S
+        is_near = job.due - job.estimate_s - self._clock.wall() < c.PIPELINE_PREEMPT_S
         return request if is_near else replace(request, priority=spec.priority)
 
     def _hold(self, waiting: WaitingRequest, credit: Credit, now: float) -> None:
@@ -384,7 +384,7 @@
         self._reserved_machine[key] = credit.machine
         credit.reserved = key
         self._unpublished = True
-        why = made_room(request.priority)
+        why = preemption_reason(request.priority)
         log.info("machine %s: preempting %d tasks for %s/%d", credit.machine, len(victims), *key)
         return [(victim, why) for victim in victims]
 
@@ -394,6 +394,6 @@
         reserved_needs = {key: found.request.need for key, found in waiting if found is not None}
         old, self._published = self._published, totals(self._queue.credits.values(), reserved_needs)
         if old != self._published:
-            self._membership.send_beat()  # the heartbeat carries the changed totals
+            self._membership.send_heartbeat()  # the heartbeat carries the changed totals
         self._metrics.credits.set(len(self._queue.credits))
-        self._metrics.asks.set(len(self._waiting))
+        self._metrics.waiting_credit_requests.set(len(self._waiting))
--- a/pulleydeal/fleet/cloud.py
+++ b/pulleydeal/fleet/cloud.py
@@ -8,8 +8,8 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
 from pulleydeal.fleet import messages as m
-from pulleydeal.http import MALFORMED, Client, NoAnswer
-from pulleydeal.store.rate import Rate
+from pulleydeal.http import DECODE_ERRORS, Client, NoResponse
+from pulleydeal.store.rate import TokenBucket
 from pulleydeal.store.records import MachineType
 
 
@@ -34,7 +34,7 @@
 def _decode(decoder: Decoder[T], reply: bytes) -> T:
     try:
         return decoder.decode(reply)
-    except MALFORMED as error:  # the call may have been executed
+    except DECODE_ERRORS as error:  # the call may have been executed
         raise CloudError(f"malformed answer from the cloud: {error}", True) from error
 
 
@@ -43,14 +43,14 @@
 
     def __init__(self, address: str, clock: Clock, rps: float) -> None:
         self._http = Client(address, clock)
-        self._rate = Rate(rps * 0.8, clock)
+        self._rate = TokenBucket(rps * 0.8, clock)
 
     async def _call(self, method: str, path: str, body: object = None) -> bytes:
         while (pause := self._rate.take(1, False)) > 0:
             await asyncio.sleep(pause)
         try:
             status, reply = await self._http.request(method, path, body, c.CLOUD_TIMEOUT_S)
-        except NoAnswer as error:
+        except NoResponse as error:
             raise CloudError(str(error), error.sent) from error
         if status == 503 and b"capacity" in reply:
             raise NoCapacity
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -1,4 +1,4 @@
-"""Answers operators on a listener of their own; loopback only, as it does not know who asks."""
+"""Serves the operators' interface; on loopback only, as it does not authenticate callers."""
 
 import itertools
 import logging
@@ -8,32 +8,34 @@
 
 from pulleydeal import __version__, logs
 from pulleydeal.features import constants as fc
-from pulleydeal.features.context import Handler, Service, Step
-from pulleydeal.features.routes import Asked, Problem, Route, Table, page
+from pulleydeal.features.context import Handler, NodeContext, Step
+from pulleydeal.features.routes import ApiError, Route, RoutedRequest, RouteTable, paginate
 from pulleydeal.features.settings import Features
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.operators import constants as oc
 from pulleydeal.store.job import Job
-from pulleydeal.store.reasons import shown
-from pulleydeal.submissions.messages import described
+from pulleydeal.store.reasons import reason_text
+from pulleydeal.submissions.messages import as_submission
 
 log = logging.getLogger("pulleydeal.operators")
 STATES = ("open", "done", "cancelled", "all")
 
 
 class Operators:
+    """The operators' interface: serves the routes of all enabled features."""
+
     def __init__(
-        self, features: Features, node: Service, routes: Callable[[], list[Route]]
+        self, features: Features, node: NodeContext, routes: Callable[[], list[Route]]
     ) -> None:
         assert features.operators is not None
         self._listen = features.operators.listen
-        self._on = features.on()
+        self._enabled = features.enabled()
         self._service = node
         self._replica = node.replica
-        self._all_routes = routes
-        self._table = Table()
-        self._start_id = secrets.token_hex(3)
-        self._serial = itertools.count(1)
+        self._collect_routes = routes
+        self._table = RouteTable()
+        self._run_id = secrets.token_hex(3)
+        self._request_numbers = itertools.count(1)
         self._server = Server(self.handle, oc.CONNECTIONS)
 
     def loops(self) -> dict[str, Step]:
@@ -43,50 +45,57 @@
         return {}
 
     def routes(self) -> list[Route]:
-        paged = ("after", "limit")
+        paging = ("after", "limit")
         return [
             Route("GET", "/v1", "all that can be asked here", self._index),
             Route("GET", "/v1/node", "this node, its view and its features", self._node),
-            Route("GET", "/v1/jobs", "jobs in the order of ids", self._jobs, (*paged, "state")),
+            Route("GET", "/v1/jobs", "jobs in the order of ids", self._jobs, (*paging, "state")),
             Route("GET", "/v1/jobs/{job}", "a job with its tasks' places", self._job),
-            Route("GET", "/v1/jobs/{job}/description", "as its user would submit it", self._words),
-            Route("GET", "/v1/machines", "machines with what is bound", self._machines, paged),
+            Route(
+                "GET",
+                "/v1/jobs/{job}/description",
+                "as its user would submit it",
+                self._description,
+            ),
+            Route("GET", "/v1/machines", "machines with what is bound", self._machines, paging),
             Route("GET", "/v1/teams", "teams, limits and what they use", self._teams),
         ]
 
     async def start(self) -> None:
-        self._table = Table(self._all_routes())
+        self._table = RouteTable(self._collect_routes())
         await self._server.start(self._listen)
-        log.info("operators are answered on %s", self._listen, extra={"feature": "operators"})
+        log.info(
+            "operators' interface listening on %s", self._listen, extra={"feature": "operators"}
+        )
 
     async def handle(self, request: Request) -> Response:
-        request_id = f"{self._start_id}-{next(self._serial)}"
+        request_id = f"{self._run_id}-{next(self._request_numbers)}"
         with logs.request(request_id):
             try:
-                route, asked = self._table.find(
+                route, routed_request = self._table.find(
                     request.method, request.path, request.body, request_id
                 )
-                reply = answer(200, await route.handler(asked))
-            except Problem as problem:
-                log.info("%s %s: %s", request.method, request.path, problem.message)
-                reply = problem.answer(request_id)
+                reply = json_response(200, await route.handler(routed_request))
+            except ApiError as error:
+                log.info("%s %s: %s", request.method, request.path, error.message)
+                reply = error.answer(request_id)
         reply.headers.append(("X-Request-Id", request_id))
         return reply
 
-    # --- what every node can tell -----------------------------------------------------------
-    async def _index(self, asked: Asked) -> Any:
+    # --- routes that every node serves ------------------------------------------------------
+    async def _index(self, request: RoutedRequest) -> Any:
         return {
             "routes": [
-                {"method": x.method, "path": x.pattern, "query": list(x.query), "does": x.does}
+                {"method": x.method, "path": x.pattern, "query": list(x.query), "does": x.summary}
                 for x in self._table.routes
             ]
         }
 
-    def _need_replica(self) -> None:
+    def _require_replica(self) -> None:
         if not self._replica.loaded:
-            raise Problem(503, "not_ready", "the state is still being read", 1)
+            raise ApiError(503, "not_ready", "the state is still being read", 1)
 
-    async def _node(self, asked: Asked) -> Any:
+    async def _node(self, request: RoutedRequest) -> Any:
         membership = self._service.membership
         return {
             "node": membership.me,
@@ -96,47 +105,49 @@
             "members": sorted(membership.view.members),
             "cut": membership.view.cut,
             "revision": self._replica.revision,
-            "features": self._on,
+            "features": self._enabled,
             "shown": {
-                node: {"format": format_, "features": self._replica.shown.get(node, {})}
-                for node, format_ in sorted(self._replica.software.items())
+                node: {"format": format_, "features": self._replica.node_features.get(node, {})}
+                for node, format_ in sorted(self._replica.node_formats.items())
             },
         }
 
-    async def _jobs(self, asked: Asked) -> Any:
-        self._need_replica()
-        state = asked.choice("state", STATES, "open")
+    async def _jobs(self, request: RoutedRequest) -> Any:
+        self._require_replica()
+        state = request.choice_param("state", STATES, "open")
         jobs = self._replica.jobs
-        names = self._replica.open_jobs if state == "open" else jobs
-        kept = (n for n in names if state == "all" or _status(jobs[n]) == state)
-        return page(asked, kept, lambda name: _summary(jobs[name]))
+        candidates = self._replica.open_jobs if state == "open" else jobs
+        names = (n for n in candidates if state == "all" or _status(jobs[n]) == state)
+        return paginate(request, names, lambda name: _summary(jobs[name]))
 
-    async def _job(self, asked: Asked) -> Any:
-        self._need_replica()
-        job = self._replica.jobs.get(asked.params["job"])
+    async def _job(self, request: RoutedRequest) -> Any:
+        self._require_replica()
+        job = self._replica.jobs.get(request.params["job"])
         if job is None or job.record is None:
-            raise Problem(404, "no_such_job", f"no job {asked.params['job']!r} is known here")
+            raise ApiError(404, "no_such_job", f"no job {request.params['job']!r} is known here")
         tasks = [
             {"task": index, "machine": task.machine, "attempt": task.attempt}
-            for index, task in sorted(job.bindings())[: fc.PAGE_MOST]
+            for index, task in sorted(job.bindings())[: fc.MAX_PAGE_SIZE]
         ]
-        last = {"last_stop": shown(job.last_stop)} if job.last_stop else {}
+        last = {"last_stop": reason_text(job.last_stop_reason)} if job.last_stop_reason else {}
         return _summary(job) | {"bound": tasks} | last
 
-    async def _words(self, asked: Asked) -> Any:
-        self._need_replica()
-        job = self._replica.jobs.get(asked.params["job"])
+    async def _description(self, request: RoutedRequest) -> Any:
+        self._require_replica()
+        job = self._replica.jobs.get(request.params["job"])
         if job is None or job.spec is None:
-            raise Problem(404, "no_such_job", f"no open job {asked.params['job']!r} is known here")
-        return described(job.spec)
+            raise ApiError(
+                404, "no_such_job", f"no open job {request.params['job']!r} is known here"
+            )
+        return as_submission(job.spec)
 
-    async def _machines(self, asked: Asked) -> Any:
-        self._need_replica()
-        return page(asked, self._replica.machines, self._machine)
+    async def _machines(self, request: RoutedRequest) -> Any:
+        self._require_replica()
+        return paginate(request, self._replica.machines, self._machine)
 
     def _machine(self, name: str) -> dict[str, Any]:
         record = self._replica.machines[name].record
-        bound = self._replica.bound.get(name, {})
+        bound = self._replica.tasks_by_machine.get(name, {})
         return {
             "machine": name,
             "state": record.state,
@@ -147,15 +158,15 @@
             "bound": [f"{job}/{index}" for job, index in sorted(bound)],
         }
 
-    async def _teams(self, asked: Asked) -> Any:
-        self._need_replica()
-        used = self._replica.usage()
+    async def _teams(self, request: RoutedRequest) -> Any:
+        self._require_replica()
+        usage = self._replica.usage()
         return {
             "items": [
                 {
                     "team": team.name,
-                    "cpus": used.get(team.name, (0.0, 0.0))[0],
-                    "gpus": used.get(team.name, (0.0, 0.0))[1],
+                    "cpus": usage.get(team.name, (0.0, 0.0))[0],
+                    "gpus": usage.get(team.name, (0.0, 0.0))[1],
                     "guaranteed": {"cpus": team.cpus, "gpus": team.gpus},
                     "most": {"cpus": team.cpus_max, "gpus": team.gpus_max},
                 }
@@ -172,8 +183,8 @@
 
 def _summary(job: Job) -> dict[str, Any]:
     assert job.record is not None
-    found = {"job": job.id, "state": _status(job), "tasks": job.record.tasks}
+    summary = {"job": job.id, "state": _status(job), "tasks": job.record.tasks}
     if job.spec is not None:
-        found |= {"class": job.spec.klass, "team": job.spec.team, "kind": job.spec.kind}
-        found |= {"done": job.done, "running": job.bound}
-    return found
+        summary |= {"class": job.spec.klass, "team": job.spec.team, "kind": job.spec.kind}
+        summary |= {"done": job.done, "running": job.bound}
+    return summary
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -65,7 +65,7 @@
     """Jobs that fit into their team's guarantee together with its earlier unfinished jobs."""
     used: dict[str, Amount] = {}
     guaranteed = set()
-    for job in sorted(jobs, key=lambda j: (j.since, j.id)):
+    for job in sorted(jobs, key=lambda j: (j.waiting_since, j.id)):
         spec = job.spec
         if spec is None or spec.team not in teams:
             continue
@@ -98,7 +98,7 @@
         return 0, 0.0
     if spec.kind == "service":
         return 0, job.bound / spec.tasks
-    age = wall - job.since
+    age = wall - job.waiting_since
     missed_objectives = 0
     for objective in objectives:
         if objective.klass != spec.klass:
@@ -111,22 +111,22 @@
             latest = record.at + spec.deadline_s * (objective.times or 1.0)
             missed_objectives += wall + spec.estimate_s > latest
     has_objective = any(objective.klass == spec.klass for objective in objectives)
-    if spec.kind == "array" and age > c.BEGIN_S and has_objective and not job.has_begun:
-        return 0, c.CHAIN_WORK  # shortest first left the longest without a single start
+    if spec.kind == "array" and age > c.ARRAY_FIRST_START_S and has_objective and not job.has_begun:
+        return 0, c.LEAST_WORK  # shortest first left the longest without a single start
     remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
-    if policy is not None and policy.decides("order"):
+    if policy is not None and policy.has_expression("order"):
         return missed_objectives, policy.value(
             "order", _policy_inputs(job, spec, age, remaining_work_s)
         )
-    if job.chained:
+    if job.in_pipeline:
         # A late job yields to others, unless it is so small that they lose nothing: otherwise gangs
         # of two tasks waited 38 s behind arrays that belong to later pipelines.
         missed_count = (
             missed_objectives + (wall > latest_start(job))
-            if remaining_work_s > c.CHAIN_SMALL_S
+            if remaining_work_s > c.PIPELINE_SMALL_S
             else 0
         )
-        return missed_count, c.CHAIN_WORK
+        return missed_count, c.LEAST_WORK
     return missed_objectives, 0.0 if spec.kind == "gang" else remaining_work_s
 
 
@@ -161,7 +161,7 @@
         if objective.klass != spec.klass:
             continue
         if objective.kind == "finished" and objective.within_s is not None:
-            deadlines_s.append(job.since + objective.within_s)
+            deadlines_s.append(job.waiting_since + objective.within_s)
         elif objective.kind == "deadline" and spec.deadline_s is not None:
             deadlines_s.append(record.at + spec.deadline_s * (objective.times or 1.0))
     # Running tasks are half done on average; the estimate is the upper bound of what is left.
@@ -188,7 +188,11 @@
 
     For jobs without such a deadline: when the job became ready.
     """
-    return job.due - job.estimate_s if job.chained and job.due < float("inf") else job.since
+    return (
+        job.due - job.estimate_s
+        if job.in_pipeline and job.due < float("inf")
+        else job.waiting_since
+    )
 
 
 def classes_with_objective(objectives: list[Objective]) -> set[str]:
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -10,15 +10,15 @@
 import msgspec
 
 from pulleydeal import constants as c
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
 from pulleydeal.decisions import Action, Decision, DecisionLog
-from pulleydeal.http import MALFORMED, Request, Response, answer
+from pulleydeal.http import DECODE_ERRORS, Request, Response, json_response
+from pulleydeal.membership import freshness
 from pulleydeal.membership import view as views
-from pulleydeal.membership import vouching
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store.service import Store
 from pulleydeal.workers import incarnation, task_log
 from pulleydeal.workers import messages as m
@@ -59,7 +59,7 @@
         self,
         membership: Membership,
         store: Store,
-        times: WorkerTimes,
+        times: WorkerTimings,
         clock: Clock,
         metrics: Metrics,
         machines: dict[str, TrackedMachine],
@@ -92,7 +92,7 @@
             lambda machine: self.on_credit_change(machine),
         )
         self._registrar = MachineRegistrar(store, clock)
-        self._background = Background("registering a machine failed")
+        self._background = BackgroundTasks("registering a machine failed")
         self._dirty: set[str] = set()
         self._wake = asyncio.Event()
         # Oldest state copy with which leases may be renewed: a node cut off from the state service
@@ -105,7 +105,7 @@
         self._full_round_at = -1e9  # steady time of the last round over all owned machines
         # Called with the id of a machine whose credit may have changed.
         self.on_credit_change: Callable[[str], None] = _ignore
-        store.replica.listen(self._on_change)
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "job":
@@ -193,7 +193,7 @@
 
     def _bound_on(self, machine: str) -> set[AttemptId]:
         """Attempts that an earlier owner, or this node before a restart, may have started there."""
-        bound = self._replica.bound.get(machine, {})
+        bound = self._replica.tasks_by_machine.get(machine, {})
         return {(job, index, task.attempt) for (job, index), task in bound.items()}
 
     def silent(self, tracked: TrackedMachine) -> bool:
@@ -209,26 +209,26 @@
     async def checkin(self, request: Request) -> Response:
         try:
             report = m.REPORT.decode(request.body)
-        except MALFORMED as error:
-            return answer(400, {"error": str(error)})
+        except DECODE_ERRORS as error:
+            return json_response(400, {"error": str(error)})
         if not self._replica.loaded or not self._membership.is_member:
-            return answer(503, {"error": "not ready"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "not ready"}, c.RETRY_AFTER_S)
         owner = self._membership.owner(report.machine, report.zone)
         if owner != self._membership.me:
             if self._partition_policy.renews_for_owner(report):
-                return answer(200, m.commands(report.token, []))
-            return answer(421, m.redirect(owner))
+                return json_response(200, m.commands(report.token, []))
+            return json_response(421, m.redirect(owner))
         if not self._may_renew_lease(report.zone):
-            return answer(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "blind for too long"}, c.RETRY_AFTER_S)
         record = self._replica.machines.get(report.machine)
         if record is not None and record.record.state == "gone":
-            return answer(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
+            return json_response(503, {"error": "machine was given back"}, c.RETRY_AFTER_S)
         tracked = self.machines.get(report.machine)
         if tracked is None:
             tracked = self._track_first_report(report, fence=int(record is None))
         if report.token > self.commander.token(tracked):
             # An owner with a newer view commands the machine; this node's view is outdated.
-            return answer(421, m.redirect(""))
+            return json_response(421, m.redirect(""))
         if incarnation.is_ambiguous(tracked, report, self._clock.now()):
             self.commander.probe(tracked)
             return self._command_response(tracked, [])
@@ -244,7 +244,7 @@
 
     def _command_response(self, tracked: TrackedMachine, calls: list[dict[str, Any]]) -> Response:
         body = msgspec.json.encode(m.commands(self.commander.token(tracked), calls))
-        return Response(200, body, written=lambda: self._on_answered(tracked))
+        return Response(200, body, on_send=lambda: self._on_answered(tracked))
 
     def _on_answered(self, tracked: TrackedMachine) -> None:
         tracked.last_answer_at = self._clock.now()
@@ -257,8 +257,8 @@
         """
         limit_s, now = self._max_staleness_s, self._clock.now()
         return (
-            vouching.may_renew(self._store.current_at, limit_s, now)
-            or vouching.may_renew(self._membership.vouched_at(), limit_s, now)
+            freshness.may_renew(self._store.fresh_as_of, limit_s, now)
+            or freshness.may_renew(self._membership.cancellations_known_at(), limit_s, now)
             or self._partition_policy.may_renew_while_stale(zone)
         )
 
@@ -302,7 +302,7 @@
         Cancellations known only from another node's heartbeat mark no machine as changed, so
         nothing is skipped while there are any.
         """
-        relayed = self._membership.relayed_cancels()
+        relayed = self._membership.relayed_cancellations()
         return not relayed and is_reconciled(tracked, now, self._times.lease_s)
 
     def _plan(self, tracked: TrackedMachine) -> Plan:
@@ -312,7 +312,7 @@
         with self._lock:
             plan = reconcile(
                 tracked,
-                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels()),
+                desired_tasks(self._replica, tracked.id, self._membership.relayed_cancellations()),
                 now,
                 self._times.lease_s,
                 partial(self._partition_policy.no_peer_renewed, tracked),
@@ -337,13 +337,13 @@
     async def work(self) -> None:
         """One round: reconciles the machines that changed and sends urgent commands directly."""
         try:
-            async with asyncio.timeout(c.LOOK_ROUND_S):
+            async with asyncio.timeout(c.MACHINE_SWEEP_S):
                 await self._wake.wait()
         except TimeoutError:
             pass
         self._wake.clear()
         now = self._clock.now()
-        if now - self._full_round_at >= c.LOOK_ROUND_S:
+        if now - self._full_round_at >= c.MACHINE_SWEEP_S:
             # Leases expire and kills are repeated without any change that marks the machine.
             self._full_round_at = now
             self._dirty.update(self.machines)
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -26,10 +26,10 @@
 from experiments.answers import played
 from pulleydeal import constants as c
 from pulleydeal.fleet.cloud import Cloud, CloudError
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.settings import StateLimits
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Refused, StateClient, Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, RequestRejected, StateClient, Unavailable
 from pulleydeal.store.service import forever
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order
@@ -103,7 +103,7 @@
 
 def test_start_of_unknown_outcome_is_settled_by_a_report_with_a_higher_token() -> None:
     """As after an unanswered order: a report with the raised token proves that it is fenced."""
-    workers = run_order(no_change, FixedReply(answer(500, {})))
+    workers = run_order(no_change, FixedReply(json_response(500, {})))
     tracked = workers.machines["vm-1"]
     fence = workers.commander.token(tracked)
     assert fence == (3 << 24) + 1
@@ -115,7 +115,8 @@
 def test_refusal_that_the_report_contradicts_proves_nothing() -> None:
     """The report has the order's token and session, so by PROTOCOL neither caused the refusal."""
     workers = run_order(
-        no_change, FixedReply(answer(409, msgspec.json.decode(checkin_request("vm-1", 2).body)))
+        no_change,
+        FixedReply(json_response(409, msgspec.json.decode(checkin_request("vm-1", 2).body))),
     )
     assert workers.machines["vm-1"].sent[START].fence is not None
 
@@ -147,14 +148,16 @@
     with a raised fence. The log repeats "invalid answer to an order: status 200 and a report that
     contradicts it (1 times)". Bound: probed again at once, then only by `Eviction.run_round`.
     """
-    stale = answer(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
+    stale = json_response(200, msgspec.json.decode(checkin_request("vm-1", 2, token=2 << 24).body))
     target = FixedReply(stale)
     run_order(no_change, target)
     assert len(target.bodies) <= 2
 
 
 def test_refused_start_is_forgotten() -> None:
-    newer = answer(409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body))
+    newer = json_response(
+        409, msgspec.json.decode(checkin_request("vm-1", 2, token=(3 << 24) + 5).body)
+    )
     workers = run_order(no_change, FixedReply(newer))
     assert START not in workers.machines["vm-1"].sent
 
@@ -176,7 +179,7 @@
         bind_job(node)
         rounds = asyncio.ensure_future(forever("workers", workers.work))
         await asyncio.sleep(5.0)
-        node.current_at = node.now()
+        node.fresh_as_of = node.now()
         spec = r.JobSpec("j-2", "c", "core", "array", 1, 1, 1.0, 0.0, 1.0, "img", 1.0)
         node.put(r.job_key("j-2"), r.JobRecord("open", 1, 0.0, spec))
         node.put(r.chunk_key("j-2", 0), [r.Task("vm-1", 1)])
@@ -200,7 +203,7 @@
     for reply, last_answer_invalid in (
         (Response(200, b"[[["), True),
         (Response(200, checkin_request("vm-1", 2).body), False),
-        (answer(500, {}), True),
+        (json_response(500, {}), True),
     ):
         workers = run_order(no_change, FixedReply(reply))
         assert workers.machines["vm-1"].last_answer_invalid is last_answer_invalid
@@ -260,7 +263,7 @@
 
 
 # --- likewise for the state service and the cloud ------------------------------------------------
-StateErrors = (Unavailable, Unknown, Refused)
+StateErrors = (Unavailable, OutcomeUnknown, RequestRejected)
 ODD_STATUSES = [500, 502, 504, 302]
 
 
@@ -269,7 +272,7 @@
     raised: list[Exception] = []
 
     async def handle(_: Request) -> Response:
-        return answer(status, {})
+        return json_response(status, {})
 
     async def work(clock: LoopClock) -> None:
         on_host(Host("10.2.0.1", ""), Server(handle, 10).start("10.2.0.1:80"))
@@ -295,7 +298,7 @@
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
 def test_transaction_may_have_been_executed_after_an_unexpected_status(status: int) -> None:
-    assert isinstance(error_for_status(status, commit), Unknown)
+    assert isinstance(error_for_status(status, commit), OutcomeUnknown)
 
 
 @pytest.mark.parametrize("status", ODD_STATUSES)
@@ -306,6 +309,6 @@
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_refused_calls_were_not_executed(status: int) -> None:
-    assert not isinstance(error_for_status(status, commit), Unknown)
+    assert not isinstance(error_for_status(status, commit), OutcomeUnknown)
     error = error_for_status(status, rent)
     assert isinstance(error, CloudError) and not error.may_have_executed
