--- a/experiments/profile.py
+++ b/experiments/profile.py
@@ -77,7 +77,7 @@
     "Credits._publish (pulleydeal/credits/service.py)": PUBLISHED,
     "totals (pulleydeal/credits/totals.py)": PUBLISHED,
     "Placement.work (pulleydeal/placement/service.py)": PLACED,
-    "Placement._round (pulleydeal/placement/service.py)": PLACED,
+    "Placement._place_all (pulleydeal/placement/service.py)": PLACED,
     "Membership.send_heartbeat (pulleydeal/membership/service.py)": BEAT,
     "Membership._on_heartbeat (pulleydeal/membership/service.py)": BEAT,
     "unpack_heartbeat (pulleydeal/membership/messages.py)": BEAT,
--- a/pulleydeal/constants.py
+++ b/pulleydeal/constants.py
@@ -82,7 +82,7 @@
 PROBES_IN_FLIGHT = 32  # orders without calls at once: many of them hang on dead machines
 PROBE_TIMEOUT_S = 1.5  # for those: a live machine answers within milliseconds
 SILENT_REPORTS = 2.5  # report periods of silence after which a machine gives no credit
-SILENT_RETURN_REPORTS = 2.7  # report periods of silence, also to probes, before it is given back
+SILENT_RETURN_REPORTS = 2.7  # report periods of silence, also to probes, before it is drained
 PROBE_REPORTS = 1.4  # report periods of silence before a machine is probed
 SILENT_SHARE = 0.34  # share of a node's machines whose silence may be the node's own fault
 SILENT_FEW = 3  # up to this many silent machines are never taken for the node's own fault
@@ -92,20 +92,26 @@
 UNREACHED_S = 4.0  # orders unanswered for this long: starts never sent go elsewhere; > one order
 MACHINE_SWEEP_S = 1.0  # how often a node checks all its machines, even without a change
 KILL_REPEAT_S = 2.0  # a kill without visible effect is sent again after this
-STOP_SLACK_S = 4.0  # added to stow_s: time from the last kill to the end of a spot machine
+# Time, besides save_s, from the latest stop of a task to the reclaim of its spot machine. Tasks
+# without checkpoints, which need not save, get half of it.
+STOP_SLACK_S = 4.0
 REPORT_REORDER_S = 1.0  # an older check-in later than this was not just overtaken by an answer
 SICK_ERRORS = 3  # failed tasks, of SICK_JOBS or more jobs, that mark a machine as sick
 SICK_JOBS = 2  # a faulty job fails everywhere; failures of two jobs point to the machine
 SICK_WINDOW_S = 90.0  # failures further apart than this are not counted together
 
 # --- Credits ------------------------------------------------------------------------------
+# An ask is a credit request that a job's leader sends to an owner for one task.
 PROBES = 3  # credits that are tried for a task from the head of the queue (see DESIGN)
 PUBLISHED_IMAGES = 50  # images named per published total: bounds the size of a heartbeat
 HOLD_S = 3.0  # a held credit is free again if its binding is not durable by then
 GANG_HOLD_S = 12.0  # gangs gather for longer: machines may have to be emptied for their tasks
 ASK_TTL_S = 3.0  # lifetime of a waiting task's place in an owner's queue; its leader renews it
 ASK_REPEAT_S = 1.0  # interval at which the leader renews it
-ROOM_BELOW = 2  # priorities below high may be stopped for a machine that has the image
+# Tasks with priorities below this (high) may be stopped for a machine that has the image. Their
+# requests prefer a download on a machine of the preferred kind (spot or on-demand) to a machine of
+# the other kind that has the image.
+ROOM_BELOW = 2
 IMAGES_SEND_DELAY_S = 2.0  # until a node that joined is sent the images: links to it are up again
 MACHINES_PER_IMAGES_MESSAGE = 500  # some 30 images of 50 B each still fit into a frame
 MISSED_OBJECTIVE_LOSS = 500.0  # in task seconds lost: most machines can lose less
@@ -142,7 +148,7 @@
 # An array of which nothing has started for this long goes first in its priority: operators expect
 # the largest jobs of a class, too, to begin within four minutes.
 ARRAY_FIRST_START_S = 120.0
-LEAST_WORK = -1.0  # as waiting work, for jobs in pipelines and late arrays: less work goes first
+LEAST_WORK = -1.0  # order value of pipeline jobs and long-waiting arrays: below any amount of work
 PIPELINE_SMALL_S = 200.0  # task seconds left up to which a late job of a pipeline delays nobody
 PIPELINE_PREEMPT_S = 30.0  # an inherited priority preempts only if a start is needed this soon
 NAMED_IN_NOTE = 5  # jobs that a waiting job's note names; the rest are counted
--- a/pulleydeal/credits/messages.py
+++ b/pulleydeal/credits/messages.py
@@ -25,7 +25,7 @@
     priority: int
     guaranteed: bool  # within its team's guarantee
     missed_objectives: int  # objectives that its job can no longer meet; fewer goes first
-    waiting_work: float  # less goes first, see `rules.job_rank`
+    order_value: float  # less goes first, see `rules.job_rank`
     tiebreak_time: float  # wall clock, see `rules.QueueRank`; earlier goes first
     gang: bool
     spot: bool
@@ -60,7 +60,7 @@
     p = Packer().u64(request.epoch).text(request.job).u32(request.index)
     p.f64(request.need.cpus).f64(request.need.gpus).f64(request.need.memory)
     p.u8(request.priority).u8(request.guaranteed).u8(request.missed_objectives).f64(
-        request.waiting_work
+        request.order_value
     ).f64(request.tiebreak_time).u8(request.gang).u8(request.spot)
     return (
         p.text(request.team)
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -1,4 +1,7 @@
-"""The credit queue of one owner, and functions that choose credits and preemption victims."""
+"""The credits that one owner offers, the order of requests for them, and how both are matched.
+
+Also chooses the running tasks to preempt when no credit suffices.
+"""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -39,14 +42,14 @@
 
 @dataclass(slots=True)
 class Victim:
-    """A running task that may be preempted."""
+    """A running task that is a candidate for preemption."""
 
     job: str
     index: int
     attempt: int
     need: Resources
     priority: int
-    lost_work_s: float  # estimate of the task seconds that a stop loses; smaller goes first
+    lost_work_s: float  # estimate of the task seconds lost if it is stopped; least goes first
     team: str
     # Stopping it would make its job miss an objective that can still be met.
     would_miss_objective: bool = False
@@ -54,7 +57,7 @@
 
 @dataclass(slots=True)
 class Credit:
-    """Free capacity of one machine, as reported, less what was granted there since."""
+    """Free capacity of one machine, as reported, less what was granted since that report."""
 
     machine: str
     type: str
@@ -65,8 +68,9 @@
     fetching: frozenset[str] = frozenset()  # being downloaded; they share the machine's bandwidth
     reserved: TaskId | None = None  # the machine was emptied for this task and takes no other
     victims: list[Victim] = field(default_factory=list)
-    # (cpus, gpus) of the victims with a priority below `ROOM_BELOW`. Summed once per credit,
-    # because totals are published several times a second and most credits do not change in between.
+    # Sum of (cpus, gpus) of the victims with a priority below `ROOM_BELOW`, part of the totals that
+    # heartbeats carry to other nodes. Summed once per credit, because totals are published several
+    # times a second and most credits do not change in between.
     stoppable: tuple[float, float] = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
@@ -76,11 +80,11 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """A credit request that is queued at this owner."""
+    """A credit request that waits at this owner."""
 
     request: CreditRequest
     leader: str
-    since: float  # when the task's first request came; renewals keep it
+    since: float  # when the task's first request came; renewals don't change it
     expires_at: float
     rescan_at: float  # when to scan all credits again, not only those that changed
 
@@ -99,23 +103,26 @@
 def fetch_rank(credit: Credit, request: CreditRequest) -> int:
     """Ranks credits by expected image download time; lower is faster.
 
-    0: the image is cached or already downloading. Otherwise 1 plus the number of downloads that
-    the machine is busy with.
+    0: the image is cached or already downloading. Otherwise 1 plus the number of downloads in
+    progress on the machine.
     """
     if request.image in credit.images:
         return 0
     return 0 if request.image in credit.fetching else 1 + len(credit.fetching)
 
 
-def service_order(waiting: WaitingRequest) -> tuple[int, int, int, float, float, float]:
-    """Sort key for waiting requests: priority, guarantee, job rank, then arrival."""
+def request_order(waiting: WaitingRequest) -> tuple[int, int, int, float, float, float]:
+    """Sort key of waiting requests: priority, guarantee, `rules.QueueRank`, then arrival."""
     request = waiting.request
-    rank = (request.missed_objectives, request.waiting_work, request.tiebreak_time)
+    rank = (request.missed_objectives, request.order_value, request.tiebreak_time)
     return (-request.priority, -int(request.guaranteed), *rank, waiting.since)
 
 
 def signature(request: CreditRequest) -> tuple[object, ...]:
-    """Requests of one signature fail alike: if one finds no credit, neither does the next."""
+    """Identifies requests that fail alike: if one finds no credit, neither do the others.
+
+    Except requests for which a machine is reserved: the signature does not cover reservations.
+    """
     return (
         (request.need.cpus, request.need.gpus, request.need.memory),
         (request.priority, request.guaranteed, request.spot, request.team, request.image),
@@ -124,7 +131,10 @@
 
 
 class CreditQueue:
-    """Credits by machine, in order of arrival; an updated credit keeps its position."""
+    """Credits of an owner by machine, in order of arrival; an updated one keeps its position.
+
+    The requests that wait for them (`WaitingRequest`) are kept elsewhere.
+    """
 
     def __init__(self) -> None:
         self.credits: dict[str, Credit] = {}
@@ -156,13 +166,14 @@
 def is_preferred(credit: Credit, request: CreditRequest) -> bool:
     """Whether the machine is of the kind, spot or on-demand, that the request should use.
 
-    Work that may run on spot machines leaves on-demand ones to work that may not: those cost
-    several times as much, and can be given back only when they are empty.
+    On-demand machines cost several times as much as spot machines, and can be returned only when
+    they are empty. Work that may use spot machines therefore leaves them to work that may not.
     """
     return credit.spot == request.spot
 
 
 def _can_host(credit: Credit, request: CreditRequest) -> bool:
+    # Capacity is compared first, because most credits of a busy fleet have none left.
     return credit.room.fits(request.need) and is_allowed(credit, request)
 
 
@@ -174,10 +185,10 @@
     The fast path looks at a few credits only. Credits are unequal, so when none of those fits, all
     must be scanned, or a fitting credit further back would never be found. Machines of the
     preferred kind go first, then those with the shortest image download, since a download takes
-    longer than most starts may. The result is the first credit in the queue among equals.
+    longer than most tasks should wait for their start. Among equals the first credit is returned.
 
-    `with_image`: only machines that have the image. Capacity is compared first, because most
-    credits of a busy fleet have none left.
+    `with_image`: only machines that have the image. A request of a priority below `ROOM_BELOW` then
+    gets only machines of the preferred kind.
     """
     fitting = [
         credit
@@ -195,31 +206,34 @@
         and request.priority < c.ROOM_BELOW
         and not is_preferred(best, request)
     ):
-        return None  # it can wait for a download, and gets on-demand capacity if there is no other
+        # Such a request rather waits for a download on a machine of the preferred kind. The search
+        # without `with_image` gives it one of the other kind if nothing else fits.
+        return None
     return best
 
 
-def preemptible(victim: Victim, request: CreditRequest, borrowers: set[str]) -> bool:
+def preemptible(victim: Victim, request: CreditRequest, teams_over_guarantee: set[str]) -> bool:
     """Whether PROTOCOL allows `request` to preempt the victim.
 
-    It does if the victim has a lower priority, or if its team uses more than its guarantee while
-    the request is within the guarantee of another team.
+    It does if the victim has a lower priority, or if its team uses more than its guarantee (is in
+    `teams_over_guarantee`) while the request is within the guarantee of another team.
     """
     return victim.priority < request.priority or (
-        request.guaranteed and victim.team in borrowers and victim.team != request.team
+        request.guaranteed and victim.team in teams_over_guarantee and victim.team != request.team
     )
 
 
 def choose_victims(
     credits: Iterable[Credit],
     request: CreditRequest,
-    borrowers: set[str],
+    teams_over_guarantee: set[str],
     with_image: bool,
     below: int,
 ) -> tuple[Credit, list[Victim]] | None:
     """Returns the machine where preemption for the request costs least, and the tasks to stop.
 
-    `with_image`: only machines that have the image. `below`: only victims of a lower priority.
+    `with_image`: only machines that have the image. `below`: only victims with a priority
+    below this.
     """
     best: tuple[float, Credit, list[Victim]] | None = None
     for credit in credits:
@@ -230,10 +244,10 @@
         candidates = [
             v
             for v in credit.victims
-            # Saving a download does not justify making another job miss an objective.
             if v.priority < below
+            # Saving a download does not justify making another job miss an objective.
             and not (with_image and v.would_miss_objective)
-            and preemptible(v, request, borrowers)
+            and preemptible(v, request, teams_over_guarantee)
         ]
         if not candidates:
             continue
@@ -248,6 +262,7 @@
             chosen.append(victim)
         if not room.fits(request.need) or not chosen:
             continue
+        # In task seconds lost; each level of priority counts for 100.
         cost = sum(
             v.lost_work_s + 100.0 * v.priority + c.MISSED_OBJECTIVE_LOSS * v.would_miss_objective
             for v in chosen
--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -25,7 +25,7 @@
     WaitingRequest,
     choose_victims,
     find_credit,
-    service_order,
+    request_order,
     signature,
 )
 from pulleydeal.credits.sweep import Sweep
@@ -278,7 +278,7 @@
         to_stop: list[tuple[Victim, str]] = []
         failed: set[tuple[object, ...]] = set()
         borrowers = self._teams_over_guarantee()
-        for waiting in sorted(due, key=service_order):
+        for waiting in sorted(due, key=request_order):
             is_full_scan = waiting.rescan_at <= now
             may_preempt = now - waiting.since >= c.PREEMPT_AFTER_S
             key = (waiting.request.job, waiting.request.index)
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -1,4 +1,4 @@
-"""Leader side of placement: requests credit for tasks and makes bindings durable once granted."""
+"""Requests credit for waiting tasks and binds them once it is granted; owners: see `credits`."""
 
 import asyncio
 import logging
@@ -33,7 +33,7 @@
 
 
 class Placement:
-    """Leader side: places the waiting tasks of the jobs that this node leads."""
+    """Places the waiting tasks of the jobs that this node leads."""
 
     def __init__(
         self,
@@ -61,16 +61,16 @@
         self._lock = threading.Lock()
         self._requests = PendingRequests()
         self._failures = FailureBackoff()
-        self._gang_zone: dict[str, tuple[str, float]] = {}
-        self._granted_at: dict[str, float] = {}  # job -> when one of its tasks last got credit
-        self._reasons: dict[str, str] = {}
+        self._chosen_zone: dict[str, tuple[str, float]] = {}  # one-zone job -> (zone, since)
+        self._granted_at: dict[str, float] = {}  # job -> last grant, or else first time considered
+        self._wait_reasons: dict[str, str] = {}  # job -> why its tasks wait
         self._ranks: dict[str, rules.QueueRank] = {}  # of jobs with waiting tasks
         self._cleanup = JobCleanup(membership, store)
         self._binding_rules = BindingRules(membership, store.replica, self._requests, teams, zones)
         self._guaranteed: set[str] = set()  # jobs within their team's guarantee
         self._guaranteed_at = -1  # the replica's `job_changes` for which `_guaranteed` holds
-        # Open jobs, and those led by this node, cached per view and `job_changes`: checking each
-        # job in each round took a sixth of a node's time (docs/results.md).
+        # Unfinished jobs, and those led by this node, cached per view and `job_changes`: checking
+        # each job in each round took a sixth of a node's time (docs/results.md).
         self._open_jobs: list[Job] = []
         self._led_jobs: list[Job] = []
         self._led_jobs_key: tuple[int, int, bool] | None = None
@@ -90,7 +90,8 @@
         self._wake.set()
 
     def reason(self, job: str) -> str:
-        return self._reasons.get(job, "")
+        """Why tasks of the job wait, as of the last round; "" if there is no reason."""
+        return self._wait_reasons.get(job, "")
 
     # --- the round ------------------------------------------------------------------------
     async def work(self) -> None:
@@ -103,28 +104,27 @@
         if not self._membership.is_member:
             return
         now = self._clock.now()
-        self._round(now)
+        self._place_all(now)
         await asyncio.sleep(c.ROUND_SPACING_S)  # lets simultaneous changes share a round
 
-    def _round(self, now: float) -> None:
+    def _place_all(self, now: float) -> None:
         jobs, led = self._update_led_jobs()
         self._cleanup.unbind_lost_tasks()
         for job in led:
             if job.is_open and job.spec is not None and job.done >= job.spec.tasks:
-                # Two owners may write the last ends of a chunk at the same moment: neither sees
-                # that all tasks are done, and the job, with those that wait for it, stayed open.
+                # Two owners may record the last exits in a chunk of tasks at once; neither then
+                # sees that all are done. Otherwise the job and its dependents would stay open.
                 self._cleanup.finalize(job, WritePriority.NORMAL)
             elif not job.is_open and not job.bound:
                 self._cleanup.finalize(job, WritePriority.BACKGROUND)
-        self._prune(now)
-        self._reasons = {}
+        self._drop_obsolete(now)
+        self._wait_reasons = {}
         if self._guaranteed_at != self._replica.job_changes:
             self._guaranteed_at = self._replica.job_changes
             self._guaranteed = rules.guaranteed_jobs([j for j in jobs if j.is_ready], self._teams)
         guaranteed = self._guaranteed
         usage = self._projected_usage()
         owners = OwnerSelector(self._membership.parts(), now)
-
         wall = self._clock.wall()
         self._ranks = {}
 
@@ -142,8 +142,8 @@
         ]
         for job in sorted(incomplete, key=sort_key):
             self._place_job(job, job.id in guaranteed, usage, owners, now)
-            if job.id in self._reasons:
-                waiting[self._reasons[job.id]] += 1
+            if job.id in self._wait_reasons:
+                waiting[self._wait_reasons[job.id]] += 1
         for reason in ("team limit", "credit", "back-off"):
             self._metrics.waiting.labels(reason).set(waiting[reason])
 
@@ -160,14 +160,14 @@
         return self._open_jobs, self._led_jobs
 
     def _leads_job(self, spec: r.JobSpec) -> bool:
-        """Cached per view: recomputed at each job's change it took 10% of a node with 520 jobs."""
+        """Cached per view: with 520 jobs, checks at each change took 10% of a node's time."""
         leads_here = self._leads_cache.get(spec.id)
         if leads_here is None:
             leads_here = self._leads_cache[spec.id] = self._membership.leads_job(spec)
         return leads_here
 
     def _projected_usage(self) -> dict[str, rules.Amount]:
-        """Resources per team that are bound, being bound, or requested."""
+        """Resources per team that are bound, being bound, or requested; `_place_job` adds to it."""
         usage = dict(self._replica.usage())
         for job_id in self._requests.jobs():
             job = self._replica.jobs.get(job_id)
@@ -178,7 +178,8 @@
             usage[job.spec.team] = rules.add(usage.get(job.spec.team, (0.0, 0.0)), amount)
         return usage
 
-    def _prune(self, now: float) -> None:
+    def _drop_obsolete(self, now: float) -> None:
+        """Drops requests that are obsolete or expired and, each `TIDY_S`, data of jobs not open."""
         with self._lock:
             for job_id in self._requests.jobs():
                 job = self._replica.jobs.get(job_id)
@@ -187,25 +188,24 @@
                         continue
                     key = (job_id, index)
                     if job is None or not job.is_open or index in job.bound_tasks:
-                        self._withdraw(key, notify_owner=not self._binding_rules.is_bound(key))
+                        self._drop_request(key, notify_owner=not self._binding_rules.is_bound(key))
                     elif pending.machine and now > pending.hold_until:
-                        self._withdraw(key, notify_owner=True)
+                        self._drop_request(key, notify_owner=True)
         if now - self._pruned_at < c.TIDY_S:
             return
         self._pruned_at = now
         open_jobs = self._replica.open_jobs
         self._failures.retain_jobs(open_jobs)
         self._granted_at = {job: v for job, v in self._granted_at.items() if job in open_jobs}
-        self._gang_zone = {job: v for job, v in self._gang_zone.items() if job in open_jobs}
+        self._chosen_zone = {job: v for job, v in self._chosen_zone.items() if job in open_jobs}
         self._leads_cache = {job: v for job, v in self._leads_cache.items() if job in open_jobs}
 
-    def _withdraw(self, key: TaskId, notify_owner: bool) -> None:
+    def _drop_request(self, key: TaskId, notify_owner: bool) -> None:
         pending = self._requests.pop(key)
         if pending is not None and notify_owner:
             release = Release(self._membership.epoch, *key)
             self._siblings.send(pending.owner, FREE, pack_release(release))
 
-    # --- one job ----------------------------------------------------------------------------
     def _place_job(
         self,
         job: Job,
@@ -220,13 +220,13 @@
         if team is None or job.done + job.bound >= spec.tasks:
             return
         if spec.kind == "gang" and job.bound:
-            self._reasons[job.id] = "the last attempt's tasks are still leaving"
+            self._wait_reasons[job.id] = "the last attempt's tasks are still leaving"
             return
         max_requests = self._max_requests(job, spec, now)
         wanted = job.waiting(max_requests)
         if len(self._requests.for_job(job.id)) >= max_requests:
-            for stale in self._requests.stale_indexes(job.id, set(wanted)):
-                self._withdraw((job.id, stale), notify_owner=True)
+            for index_to_drop in self._requests.stale_indexes(job.id, set(wanted)):
+                self._drop_request((job.id, index_to_drop), notify_owner=True)
         open_requests = len(self._requests.for_job(job.id))
         ahead = job.bound + self._requests.count_granted(job)
         for index in wanted:
@@ -236,27 +236,27 @@
                 if open_requests >= max_requests:
                     break
                 if not self._failures.may_retry(key, job.task(index).fails, now):
-                    self._reasons[job.id] = "back-off"
+                    self._wait_reasons[job.id] = "back-off"
                     continue
                 usage_after = rules.add(usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
                 if not rules.within_limit(team, usage_after):
-                    self._reasons[job.id] = "team limit"
+                    self._wait_reasons[job.id] = "team limit"
                     break
                 usage[spec.team] = usage_after
                 open_requests += 1
-            self._reasons.setdefault(job.id, "credit")
+            self._wait_reasons.setdefault(job.id, "credit")
             if pending is not None and pending.is_granted:
                 continue
             if pending is None or now >= pending.review_at:
                 self._request_credit(job, key, pending, guaranteed, ahead, owners, now)
             ahead += 1
         if spec.kind == "gang":
-            self._try_gang(job, now)
+            self._bind_gang_if_complete(job, now)
 
     def _max_requests(self, job: Job, spec: r.JobSpec, now: float) -> int:
         """Maximum number of a job's requests; an array that got no credit lately keeps only a few.
 
-        Otherwise six large arrays had 384 requests, renewed every second and reviewed every 0.25 s.
+        Otherwise six large arrays had 384, renewed every second, with owners reviewed every 0.25 s.
         """
         granted_at = self._granted_at.setdefault(job.id, now)
         if spec.kind != "array" or now - granted_at < c.UNSERVED_AFTER_S:
@@ -273,17 +273,17 @@
         owners: OwnerSelector,
         now: float,
     ) -> None:
-        """`ahead`: tasks of the job that are bound, have capacity, or precede this one."""
+        """`ahead`: tasks of the job that are bound, hold capacity, or come before this one."""
         spec = job.spec
         assert spec is not None
         zones = self._allowed_zones(job, key, owners, now)
         owner = owners.choose(spec, key[1], zones, pending)
         if not owner:
             return
-        moves = pending is not None and (pending.owner != owner or pending.zones != zones)
-        if moves:
-            self._withdraw(key, notify_owner=True)
-        if pending is None or moves:
+        is_changed = pending is not None and (pending.owner != owner or pending.zones != zones)
+        if is_changed:
+            self._drop_request(key, notify_owner=True)
+        if pending is None or is_changed:
             since = pending.since if pending else now
             pending = PendingRequest(owner, -1e9, since, zones, now)
             self._requests.put(key, pending)
@@ -305,7 +305,7 @@
         used = self._used_zones(job, key)
         allowed = rules.zones_allowed(spec, used, self._zones)
         if spec.one_zone and spec.tasks > 1 and not used and len(allowed) > 1:
-            return [self._choose_gang_zone(job.id, spec, allowed, owners, now)]
+            return [self._choose_single_zone(job.id, spec, allowed, owners, now)]
         return allowed
 
     def _used_zones(self, job: Job, key: TaskId | None) -> Counter[str]:
@@ -317,17 +317,17 @@
         ]
         return rules.count_by_zone(machines, self._replica.zone_of)
 
-    def _choose_gang_zone(
+    def _choose_single_zone(
         self, job: str, spec: r.JobSpec, allowed: list[str], owners: OwnerSelector, now: float
     ) -> str:
-        zone, since = self._gang_zone.get(job, ("", now))
+        zone, since = self._chosen_zone.get(job, ("", now))
         chosen = choose_gang_zone(spec, zone, now - since, allowed, owners.room_by_zone(spec))
         if chosen != zone:
-            self._gang_zone[job] = (chosen, now)
+            self._chosen_zone[job] = (chosen, now)
         return chosen
 
     # --- holds and bindings -------------------------------------------------------------------
-    def _on_hold(self, owner: str, payload: bytes) -> None:
+    def _on_hold(self, sender: str, payload: bytes) -> None:
         hold = unpack_hold(payload)
         key = (hold.job, hold.index)
         now = self._clock.now()
@@ -336,24 +336,24 @@
             return
         with self._lock:
             pending = self._requests.get(key)
-            unwanted = pending is None or pending.owner != owner or not job.is_open
-            if not unwanted:
+            is_unwanted = pending is None or pending.owner != sender or not job.is_open
+            if not is_unwanted:
                 assert pending is not None
                 if pending.writing:
                     return
                 pending.machine = hold.machine
                 self._granted_at[hold.job] = now
                 pending.hold_until = now + hold.seconds
-        if unwanted:
+        if is_unwanted:
             release = Release(self._membership.epoch, *key)
-            self._siblings.send(owner, FREE, pack_release(release))
+            self._siblings.send(sender, FREE, pack_release(release))
         elif job.spec.kind == "gang":
-            self._try_gang(job, now)
+            self._bind_gang_if_complete(job, now)
         else:
             self._bind(job, [key])
 
-    def _try_gang(self, job: Job, now: float) -> None:
-        """Binds the gang once capacity is held for all its members; none starts before that."""
+    def _bind_gang_if_complete(self, job: Job, now: float) -> None:
+        """Binds the gang once capacity is held for all its tasks; none is bound before that."""
         assert job.spec is not None
         keys = [(job.id, index) for index in job.waiting(job.spec.tasks)]
         requests = [self._requests.get(key) for key in keys]
@@ -364,24 +364,24 @@
 
     def _bind(self, job: Job, keys: list[TaskId]) -> None:
         pending = self._requests.for_job(job.id)
-        until = min(pending[index].hold_until for _, index in keys)
+        earliest_hold_end = min(pending[index].hold_until for _, index in keys)
         machines = {key[1]: self._requests.mark_writing(key) for key in keys}
 
         def mutate(draft: Draft) -> None:
-            if self._clock.now() < until:
+            if self._clock.now() < earliest_hold_end:  # afterwards others may be granted it
                 self._binding_rules.apply(draft, machines)
 
         future = self._store.change_job(job.id, mutate, priority=WritePriority.NORMAL)
-        future.add_done_callback(lambda _: self._on_bound(job.id, keys, machines))
+        future.add_done_callback(lambda _: self._after_bind_write(job.id, keys, machines))
 
-    def _on_bound(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
+    def _after_bind_write(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
         job = self._replica.jobs.get(job_id)
         for key in keys:
             task = job.task(key[1]) if job is not None else r.Task()
-            is_shown = task.machine == machines[key[1]]
+            is_bound = task.machine == machines[key[1]]
             with self._lock:
-                self._withdraw(key, notify_owner=not is_shown)
-            if is_shown and job is not None and job.record is not None:
+                self._drop_request(key, notify_owner=not is_bound)
+            if is_bound and job is not None and job.record is not None:
                 waited_s = max(0.0, self._clock.wall() - job.waiting_since)
                 self._failures.record_machine(key, task.machine)
                 if task.attempt == 1:
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -1,6 +1,6 @@
-"""Placement rules of PROTOCOL (zones, limits, guarantees) and the queue order of jobs.
+"""Placement rules of PROTOCOL (zones, limits, guarantees) and the order of jobs and requests.
 
-Plain functions over the replica.
+Pure functions of jobs, teams and objectives, without I/O.
 """
 
 from collections import Counter
@@ -23,12 +23,18 @@
 
 
 def count_by_zone(machines: list[str], zone_of: dict[str, str]) -> Counter[str]:
-    """Counts a job's tasks by zone, including all that are not proved gone."""
+    """Counts a job's tasks by zone, given the machine of each ("?": its zone is not known).
+
+    Tasks that may still run, because they are not proved gone, count too.
+    """
     return Counter(zone_of.get(machine, "?") for machine in machines)
 
 
 def zones_allowed(spec: r.JobSpec, used: Counter[str], zones: list[str]) -> list[str]:
-    """Zones where another task of the job may run; for a spread job, least used zones first."""
+    """Zones where another task of the job may run; for a spread job, least used zones first.
+
+    `used`: number of the job's tasks by zone.
+    """
     options = [spec.zone] if spec.zone else list(zones)
     if spec.one_zone and used:
         options = [z for z in options if used[z] == used.total()]
@@ -48,12 +54,17 @@
 
 
 def within_limit(team: Team, used: Amount) -> bool:
+    """Whether a team may use that much; a maximum of 0 is no limit."""
     return (team.cpus_max == 0 or used[0] <= team.cpus_max + ROUNDING_TOLERANCE) and (
         team.gpus_max == 0 or used[1] <= team.gpus_max + ROUNDING_TOLERANCE
     )
 
 
 def within_guarantee(team: Team, used: Amount) -> bool:
+    """Whether that much is guaranteed to a team.
+
+    A guarantee of 0 does not restrict that resource; with both 0 the team has no guarantee.
+    """
     if team.cpus == 0 and team.gpus == 0:
         return False
     return (team.cpus == 0 or used[0] <= team.cpus + ROUNDING_TOLERANCE) and (
@@ -62,7 +73,10 @@
 
 
 def guaranteed_jobs(jobs: list[Job], teams: dict[str, Team]) -> set[str]:
-    """Jobs that fit into their team's guarantee together with its earlier unfinished jobs."""
+    """Those of `jobs` that fit into their team's guarantee together with its earlier ones.
+
+    Earlier are jobs that became ready before. Each counts with all its tasks, finished ones too.
+    """
     used: dict[str, Amount] = {}
     guaranteed = set()
     for job in sorted(jobs, key=lambda j: (j.waiting_since, j.id)):
@@ -80,18 +94,24 @@
 def job_rank(
     job: Job, objectives: list[Objective], wall: float, policy: Policy | None = None
 ) -> tuple[int, float]:
-    """Rank of a job among those of its priority; smaller goes first.
-
-    The first element is the number of objectives that the job can no longer meet: if capacity does
-    not suffice for all, giving it to a job that is late anyway makes another one late too. For a
-    job of a pipeline it also counts a missed latest start.
-
-    The second depends on the kind of job. For arrays it is the work that still waits, since most
-    jobs are done in time if short ones go first. For services it is the share of copies that are
-    bound: each missing copy counts alike, but a service without any copy, as after the loss of a
-    zone, serves nobody. Jobs of a pipeline are short and block others, so they go first among
-    equals, ordered by the latest start that meets the deadlines behind them (`latest_start`). An
-    operator's `order` expression replaces the second element.
+    """Rank of a job among those of equal priority and guarantee; smaller goes first.
+
+    The first element is usually the number of objectives that the job can no longer meet: if
+    capacity does not suffice for all, giving it to a job that is late anyway makes another one late
+    too. The second, the order value, decides between jobs with the same number. The first rule that
+    applies gives both:
+    - Service: 0, and the share of its copies (tasks) that are bound. Each missing copy counts
+      alike, but a service without any copy, as after the loss of a zone, serves nobody.
+    - Array of a class with objectives that has waited longer than `ARRAY_FIRST_START_S` without a
+      start: 0 and `LEAST_WORK`, so it goes before other arrays.
+    - An operator's `order` expression, if there is one: missed objectives, and its value.
+    - Job of a pipeline: missed objectives and a missed latest start, and `LEAST_WORK`. Such jobs
+      are short and block others, so they go first among equals, ordered by the latest start that
+      meets the deadlines of their dependents (`latest_start`). For one with little work left the
+      first element is 0.
+    - Gang: missed objectives and 0.
+    - Array: missed objectives, and the work that is not yet bound, since most jobs are done in time
+      if short ones go first.
     """
     spec, record = job.spec, job.record
     if spec is None or record is None:
@@ -108,47 +128,48 @@
         elif objective.kind == "finished" and objective.within_s is not None:
             missed_objectives += age + spec.estimate_s > objective.within_s
         elif objective.kind == "deadline" and spec.deadline_s is not None:
-            latest = record.at + spec.deadline_s * (objective.times or 1.0)
-            missed_objectives += wall + spec.estimate_s > latest
+            deadline = record.at + spec.deadline_s * (objective.times or 1.0)
+            missed_objectives += wall + spec.estimate_s > deadline
     has_objective = any(objective.klass == spec.klass for objective in objectives)
     if spec.kind == "array" and age > c.ARRAY_FIRST_START_S and has_objective and not job.has_begun:
-        return 0, c.LEAST_WORK  # shortest first left the longest without a single start
+        # Otherwise, with the shortest first, the longest arrays would not start a single task.
+        return 0, c.LEAST_WORK
     remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
     if policy is not None and policy.has_expression("order"):
         return missed_objectives, policy.value(
             "order", _policy_inputs(job, spec, age, remaining_work_s)
         )
     if job.in_pipeline:
-        # A late job yields to others, unless it is so small that they lose nothing: otherwise gangs
-        # of two tasks waited 38 s behind arrays that belong to later pipelines.
-        missed_count = (
+        # A late job goes behind others, unless it is too small to delay them. Otherwise gangs of
+        # two tasks waited 38 s behind arrays that belong to later pipelines.
+        missed_with_start = (
             missed_objectives + (wall > latest_start(job))
             if remaining_work_s > c.PIPELINE_SMALL_S
             else 0
         )
-        return missed_count, c.LEAST_WORK
+        return missed_with_start, c.LEAST_WORK
     return missed_objectives, 0.0 if spec.kind == "gang" else remaining_work_s
 
 
 class QueueRank(NamedTuple):
-    """Position in an owner's queue among requests of equal priority; smaller goes first."""
+    """Rank among an owner's requests of equal priority and guarantee; smaller goes first."""
 
     missed_objectives: int  # objectives that the job can no longer meet
-    waiting_work: float  # depends on the kind of job, see `job_rank`
-    tiebreak_time: float  # wall clock: when the job became ready, or must start by
+    order_value: float  # depends on the kind of job, see `job_rank`
+    tiebreak_time: float  # wall clock, see `latest_start`
 
 
 def task_rank(spec: r.JobSpec, rank: QueueRank, ahead: int) -> QueueRank:
     """Rank of one waiting task; `ahead` is the number of its job's tasks before it.
 
-    Copies of one service that wait at the same time get different ranks, so that each of forty
-    services gets its first copy before one gets its second. With equal ranks, the services accepted
-    first had six copies while others had none for seconds
+    Copies (tasks) of one service that wait at the same time get different ranks, so that each of
+    forty services gets its first copy before one gets its second. With equal ranks, the services
+    accepted first would have six copies while others had none for seconds
     (docs/incidents/services-without-a-copy.md).
     """
     if spec.kind != "service":
         return rank
-    return rank._replace(waiting_work=ahead / spec.tasks)
+    return rank._replace(order_value=ahead / spec.tasks)
 
 
 def stop_would_miss_objective(job: Job, objectives: list[Objective], wall: float) -> bool:
@@ -156,16 +177,17 @@
     spec, record = job.spec, job.record
     if spec is None or record is None:
         return False
-    deadlines_s = [job.due] if job.due < float("inf") else []
+    deadlines = [job.due] if job.due < float("inf") else []
     for objective in objectives:
         if objective.klass != spec.klass:
             continue
         if objective.kind == "finished" and objective.within_s is not None:
-            deadlines_s.append(job.waiting_since + objective.within_s)
+            deadlines.append(job.waiting_since + objective.within_s)
         elif objective.kind == "deadline" and spec.deadline_s is not None:
-            deadlines_s.append(record.at + spec.deadline_s * (objective.times or 1.0))
-    # Running tasks are half done on average; the estimate is the upper bound of what is left.
-    slacks_s = [end - wall - spec.estimate_s / 2 for end in deadlines_s]
+            deadlines.append(record.at + spec.deadline_s * (objective.times or 1.0))
+    # A running task is half done on average, so about half of its estimated time is left.
+    slacks_s = [end - wall - spec.estimate_s / 2 for end in deadlines]
+    # A negative slack is an objective that is missed already.
     return any(0 <= slack_s < c.RESTART_S for slack_s in slacks_s)
 
 
@@ -184,9 +206,9 @@
 
 
 def latest_start(job: Job) -> float:
-    """Wall clock by which a job should start for its own and later deadlines.
+    """Wall clock by which a job should start to meet its own deadline and its dependents'.
 
-    For jobs without such a deadline: when the job became ready.
+    For a job outside a pipeline or without such a deadline: when the job became ready.
     """
     return (
         job.due - job.estimate_s
@@ -200,13 +222,17 @@
     return {o.klass for o in objectives if o.klass and o.kind in ("wait", "finished", "deadline")}
 
 
-def is_idle_time_work(spec: r.JobSpec, aimed_classes: set[str]) -> bool:
-    """Whether it is idle-time work: lowest priority, may use spot, no deadline or objective."""
+def is_idle_time_work(spec: r.JobSpec, objective_classes: set[str]) -> bool:
+    """Whether it is idle-time work, for which otherwise idle machines are used.
+
+    It has the lowest priority, may use spot machines, and has no deadline; its class is not in
+    `objective_classes`.
+    """
     return (
         spec.spot
         and spec.priority == 0
         and spec.deadline_s is None
-        and spec.klass not in aimed_classes
+        and spec.klass not in objective_classes
     )
 
 
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -1,4 +1,4 @@
-"""Removal of owned machines that are silent, sick, idle or about to be reclaimed."""
+"""Marks silent and sick machines for drain; stops tasks on those to be reclaimed or returned."""
 
 import asyncio
 import logging
@@ -31,7 +31,11 @@
 
 
 class Eviction:
-    """Marks silent and sick machines for drain, and stops tasks on machines that are to go."""
+    """Periodic check of the machines that this node owns.
+
+    Marks silent and sick machines for drain. Stops tasks on spot machines that the cloud is about
+    to reclaim, and idle-time tasks on idle machines that will be returned to the cloud.
+    """
 
     def __init__(
         self,
@@ -53,7 +57,8 @@
         self._machines = machines
         self._commander = commander
         self._partition_policy = partition_policy
-        self._silent_zone_at: dict[str, float] = {}  # zone -> when it was last silent
+        # zone -> when it was last silent; updated by `silent_too_long`
+        self._zone_silent_at: dict[str, float] = {}
 
     def unreachable_zones(self) -> set[str]:
         """Zones that are currently unreachable, as seen by this node and its peers."""
@@ -61,7 +66,7 @@
         return unreachable_zones(machines, self._clock.now(), self._times.report_s, others)
 
     async def run_round(self) -> None:
-        """One round: probes silent machines, marks those to drain, and stops tasks in time."""
+        """One round: probes machines, marks some for drain, and stops tasks as described above."""
         await asyncio.sleep(0.5)
         if not self._membership.is_member:
             return
@@ -76,7 +81,7 @@
                 now,
                 report_s,
                 self._times.lease_s,
-                self._silent_zone_at,
+                self._zone_silent_at,
                 self._partition_policy.peer_observations(),
                 self._partition_policy.fleet_leader_decides(),
             )
@@ -84,64 +89,72 @@
         one_way = set(one_way_too_long(machines, now, report_s, self._times.lease_s))
         for tracked in machines:
             if self._machines.get(tracked.id) is not tracked:
-                continue  # given up while the record of another machine was written
-            quiet = silent_s(tracked, now) > c.PROBE_REPORTS * report_s
-            if quiet or tracked.unanswered_since is not None or tracked.last_answer_invalid:
+                continue  # no longer owned: lost while another machine's record was written
+            is_overdue = silent_s(tracked, now) > c.PROBE_REPORTS * report_s
+            if is_overdue or tracked.unanswered_since is not None or tracked.last_answer_invalid:
                 self._commander.probe(tracked)
             record = self._replica.machines.get(tracked.id)
             if record is not None and record.record.why == IDLE:
-                self._stop_idle_work(tracked)
+                self._stop_idle_time_work(tracked)
             if record is None or record.record.state != "up":
                 continue
-            # Checked again: a report may have arrived while another record was written.
+            # Not if a report arrived after `silent` was computed, while another record was written.
             if tracked.id in silent and silent_s(tracked, now) > c.PROBE_REPORTS * report_s:
                 await self.mark_for_drain(tracked.id, "silent")
             elif tracked.id in one_way and (tracked.unanswered_since or tracked.no_checkin_since):
+                # The reason that is stored for these is "silent" too.
                 log.info("machine %s is reachable in one direction only", tracked.id)
                 await self.mark_for_drain(tracked.id, "silent")
             elif is_sick(tracked, now, self._failure_cause):
                 await self.mark_for_drain(tracked.id, "sick")
             elif tracked.notice_at is not None:
-                self._drain_for_notice(tracked, now)
+                self._stop_before_reclaim(tracked, now)
 
-    def _failure_cause(self, job_id: str, here: int) -> FailureCause:
-        """Whether a job's `here` failures on one machine are due to the job or to the machine.
+    def _failure_cause(self, job_id: str, failures_here: int) -> FailureCause:
+        """Whether failures of a job on one machine are due to the job or to the machine.
 
-        A job that succeeded is sound, and one that failed elsewhere too is faulty. A cancelled job
-        is no evidence against the machine.
+        `failures_here`: how often it failed on that machine. A job with a finished task is sound,
+        and one that also failed elsewhere is faulty. A cancelled job is no evidence against the
+        machine. For others the cause is open.
         """
         job = self._replica.jobs.get(job_id)
         if job is None or job.is_cancelled:
             return "job"
         if job.done:
             return "machine"
-        return "job" if job.fails > here else "open"
+        return "job" if job.fails > failures_here else "open"
 
     async def mark_for_drain(self, machine: str, why: str) -> None:
         """Writes durably that a machine is to be drained."""
-        old = self._replica.machines[machine]
-        record = msgspec.structs.replace(old.record, state="drain", why=why, at=self._clock.wall())
+        stored = self._replica.machines[machine]
+        record = msgspec.structs.replace(
+            stored.record, state="drain", why=why, at=self._clock.wall()
+        )
         key = r.machine_key(machine)
-        conditions = {key: old.version, r.VIEW_KEY: self._replica.view_version}
+        conditions = {key: stored.version, r.VIEW_KEY: self._replica.view_version}
         if await self._store.commit(conditions, {key: record}):
             log.info("machine %s marked for drain: %s", machine, why, extra={"machine": machine})
 
-    def _drain_for_notice(self, tracked: TrackedMachine, now: float) -> None:
-        """Stops tasks as late as possible before the cloud reclaims the spot machine."""
+    def _stop_before_reclaim(self, tracked: TrackedMachine, now: float) -> None:
+        """Stops tasks as late as possible before the cloud reclaims the spot machine.
+
+        `notice_at` is the time of reclaim that the cloud announced. Tasks with checkpoints also
+        need time to save.
+        """
         assert tracked.notice_at is not None
         for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if spec is None or task.stop:
                 continue
             if spec.checkpoint_s > 0:
-                last = tracked.notice_at - spec.save_s - c.STOP_SLACK_S
+                latest_stop_at = tracked.notice_at - spec.save_s - c.STOP_SLACK_S
             else:
-                last = tracked.notice_at - c.STOP_SLACK_S / 2
-            if now >= last:
+                latest_stop_at = tracked.notice_at - c.STOP_SLACK_S / 2
+            if now >= latest_stop_at:
                 self.stop(job_id, index, task.attempt, "the cloud takes its spot machine back")
 
-    def _stop_idle_work(self, tracked: TrackedMachine) -> None:
-        """Stops idle-time tasks, which alone do not keep an idle machine from being returned."""
+    def _stop_idle_time_work(self, tracked: TrackedMachine) -> None:
+        """Stops idle-time tasks: they alone do not keep an idle machine from being returned."""
         for (job_id, index), task in self._replica.tasks_by_machine.get(tracked.id, {}).items():
             spec = self._replica.jobs[job_id].spec
             if (
@@ -152,7 +165,7 @@
                 self.stop(job_id, index, task.attempt, MACHINE_RETURNED)
 
     def stop(self, job_id: str, index: int, attempt: int, why: str) -> None:
-        """Requests an orderly stop of a task and its gang; the reason is stored."""
+        """Requests a graceful stop of a task, or of its whole gang; the reason is stored."""
         self._store.change_job(
             job_id,
             partial(apply_stop, index=index, attempt=attempt, why=why),
--- a/pulleydeal/workers/exits.py
+++ b/pulleydeal/workers/exits.py
@@ -82,5 +82,5 @@
         ran twice.
         """
         still_owner = self._membership.is_member and self._machines.get(tracked.id) is tracked
-        if still_owner or not task_exit.by_absence:
+        if still_owner or not task_exit.inferred:
             apply_exit(draft, task_exit)
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -194,5 +194,5 @@
         if order.runs:
             tracked.raise_fence()
         for start in order.runs:
-            tracked.sent[start].fence = self._handler.token(tracked)
+            tracked.sent[start].fence_token = self._handler.token(tracked)
             tracked.sent[start].direct = False
--- a/pulleydeal/workers/service.py
+++ b/pulleydeal/workers/service.py
@@ -247,7 +247,7 @@
         return Response(200, body, on_send=lambda: self._on_answered(tracked))
 
     def _on_answered(self, tracked: TrackedMachine) -> None:
-        tracked.last_answer_at = self._clock.now()
+        tracked.checkin_answered_at = self._clock.now()
 
     def _may_renew_lease(self, zone: str) -> bool:
         """Whether this node knows of cancellations recently enough to renew leases in the zone.
@@ -372,7 +372,7 @@
             return
         urgent = [call for call in plan.calls if call["call"] != "clear"]
         if urgent or any(
-            sent.fence is not None and not sent.settled for sent in tracked.sent.values()
+            sent.fence_token is not None and not sent.settled for sent in tracked.sent.values()
         ):
             for start in plan.runs:
                 tracked.sent[start] = SentStart(tracked.session, 0, direct=True)
--- a/pulleydeal/workers/tracked_machine.py
+++ b/pulleydeal/workers/tracked_machine.py
@@ -1,6 +1,8 @@
-"""The owner's state of one machine, and the planning of commands and exits from it.
+"""The owner's state of one machine, and the commands and exits that are planned from that state.
 
-Functions here use only their arguments, including the time, and do no I/O.
+A command (`run`, `kill` or `clear`) reaches the machine in the answer to one of its check-ins or in
+a direct order, which is an HTTP request of this node. Functions here depend only on their
+arguments, which some of them change, and do no I/O; the time is an argument too.
 """
 
 from collections import Counter
@@ -28,15 +30,19 @@
 
 @dataclass(slots=True)
 class SentStart:
-    """A `run` command that was sent, and what would prove its outcome.
+    """A `run` command that was sent, and what is needed to know its outcome.
 
+    A start that was sent in a check-in's answer is settled by a check-in with a higher `seq` than
+    `sent_at_seq`. One sent in a direct order is settled when the machine confirms the order; if
+    the order got no valid answer, by a report with `fence_token` or a later one. A report that
+    contains the attempt, or a new session, settles both unless the start's order is in flight.
     Once `settled`, a report without the task proves that it does not run.
     """
 
     session: int
-    after_seq: int  # sent in a check-in's answer: settled by a later check-in than this
-    fence: int | None = None  # order unanswered: settled once the machine holds this token
-    direct: bool = False  # its order is in flight: the outcome is unknown until it ends
+    sent_at_seq: int  # `seq` of the check-in whose answer carried it; 0: sent in an order
+    fence_token: int | None = None  # the machine refuses the order once it holds this token
+    direct: bool = False  # its direct order is in flight: nothing settles it until that ends
     settled: bool = False
 
 
@@ -50,9 +56,9 @@
     machine: str
     outcome: str  # done, error, saved, stopped, lost, refused, ...
     detail: str
-    # Concluded from the task's absence: valid only while the same owner keeps the machine. An exit
-    # that the machine itself reported stays valid.
-    by_absence: bool = False
+    # Not reported by the machine but inferred by its owner, such as from an expired lease: valid
+    # only while that node owns the machine without a break. A reported exit stays valid.
+    inferred: bool = False
 
 
 @dataclass(slots=True)
@@ -61,12 +67,14 @@
 
     task: Task
     spec: JobSpec
-    end_reason: str = ""  # reason why no task of this attempt may run any more; empty: it may
+    # Why no task of this attempt may run any more: it is killed at once, whereas `task.stop` leaves
+    # it time to save. Empty: it may run.
+    end_reason: str = ""
 
 
 @dataclass(slots=True)
 class TrackedMachine:
-    """What this node knows of a machine, for as long as it owns it without a break."""
+    """What this node knows of a machine during one uninterrupted period of ownership."""
 
     id: str
     type: str
@@ -76,26 +84,27 @@
     takeover_token: int  # lowest token that proves a report was made after the takeover
     inherited: set[AttemptId]  # bindings that an earlier owner may have started
     addr: str = ""
-    fence: int = 0
+    fence: int = 0  # counter in the low bits of this node's tokens, below the epoch
     session: int = 0
     seq: int = 0
-    seen_token: int = 0
+    seen_token: int = 0  # token in the last accepted report
     token_at: float = 0.0  # steady time at which a token of the current epoch was first reported
     session_at: float = -1e9  # steady time at which the current session was first reported
     notice_at: float | None = None  # steady time at which the cloud reclaims the spot machine
     last_report_at: float | None = None  # steady time of the last report of any kind
     last_checkin_at: float | None = None  # steady time of the last check-in that was not outdated
     no_checkin_since: float | None = None  # since then it has answered orders but not checked in
-    last_answer_at: float | None = None  # steady time of the last check-in answered with 200
+    checkin_answered_at: float | None = None  # steady time of the last 200 sent to a check-in
     tasks: dict[TaskId, TaskStatus] = field(default_factory=dict)
     sent: dict[AttemptId, SentStart] = field(default_factory=dict)
-    seen: set[AttemptId] = field(default_factory=set)
+    seen: set[AttemptId] = field(default_factory=set)  # attempts that it has reported
+    # (attempt, whether it was given time to save) -> when the last kill was planned
     killed_at: dict[tuple[AttemptId, bool], float] = field(default_factory=dict)
-    errors: list[tuple[float, AttemptId]] = field(default_factory=list)
+    errors: list[tuple[float, AttemptId]] = field(default_factory=list)  # failures and their times
     order_in_flight: bool = False  # a direct order is in flight
-    unanswered_since: float | None = None  # orders get no answer since then; None: the last one did
-    last_answer_invalid: bool = False  # the answer to the last order was not valid
-    wrong_answers: Counter[str] = field(default_factory=Counter)  # invalid ones, by reason
+    unanswered_since: float | None = None  # no order answered since; None: the last one was
+    last_answer_invalid: bool = False  # its answer to the last order was not valid
+    wrong_answers: Counter[str] = field(default_factory=Counter)  # to orders, by reason
     raw_tasks: list[m.ReportedTask] = field(default_factory=list)  # of the last accepted report
     # The last plan was empty, and none of its inputs has changed since.
     reconciled: bool = False
@@ -132,11 +141,18 @@
     for attempt_id, sent in s.sent.items():
         if sent.settled:
             continue
-        # An order for an earlier session is refused (409) whenever it arrives.
         if (
+            # Orders for an earlier session are refused (409) whenever they arrive.
             (new_session and sent.session < report.session and not sent.direct)
-            or (sent.fence is not None and report.token >= sent.fence)
-            or (not sent.direct and sent.fence is None and checkin and report.seq > sent.after_seq)
+            # The start was in an order that the machine refuses with the token that it now holds.
+            or (sent.fence_token is not None and report.token >= sent.fence_token)
+            # The start was in the answer to an earlier check-in.
+            or (
+                not sent.direct
+                and sent.fence_token is None
+                and checkin
+                and report.seq > sent.sent_at_seq
+            )
         ):
             sent.settled = True
         entry = s.tasks.get(attempt_id[:2])
@@ -146,7 +162,7 @@
 
 
 def _update_tasks(s: TrackedMachine, tasks: list[m.ReportedTask]) -> None:
-    """Replaces the task states. Called only if they changed, as most reports repeat the last."""
+    """Replaces the task states. The caller skips reports whose tasks equal those of the last."""
     s.raw_tasks = tasks
     s.reconciled = False
     s.tasks = {}
@@ -164,18 +180,19 @@
     """Whether the lease must have expired, so that the worker has killed all its tasks.
 
     The machine must hold this owner's token, and this owner must have answered a check-in itself:
-    otherwise an earlier one may still renew the lease in a partitioned zone. The lease counts from
-    the latest of three times:
-    - this owner's last answer, which renewed it;
-    - the first report with a token of the current epoch: an earlier owner with an older view had
-      renewed the lease after this owner's first answer was lost (docs/incidents/older-owner.md);
-    - the first report of the session: a new session begins with a full lease, and tasks started in
-      it by an order were declared lost at once (docs/incidents/new-session.md).
+    otherwise an earlier owner may still renew the lease in a partitioned zone. The lease counts
+    from the latest of three times:
+    - this owner's last answer to a check-in, which renewed it;
+    - the first report with a token of the current epoch: until then an earlier owner with an older
+      view may have renewed the lease, if this owner's first answer was lost
+      (docs/incidents/older-owner.md);
+    - the first report of the session: a new session begins with a full lease. Without this, tasks
+      that an order starts in it would be declared lost at once (docs/incidents/new-session.md).
     """
-    if s.last_answer_at is None or not s.trusted:
+    if s.checkin_answered_at is None or not s.trusted:
         return False
     return (
-        now - max(s.last_answer_at, s.token_at, s.session_at)
+        now - max(s.checkin_answered_at, s.token_at, s.session_at)
         > lease_s * (1 + c.CLOCK_DRIFT) + c.LEASE_MARGIN_S
     )
 
@@ -196,7 +213,7 @@
 
 
 def is_reconciled(s: TrackedMachine, now: float, lease_s: float) -> bool:
-    """Whether a new plan would be empty too.
+    """Whether no plan is needed, since a new one would be empty too.
 
     With unchanged inputs only the expiry of the lease can change the plan.
     """
@@ -213,8 +230,8 @@
 ) -> Plan:
     """Plans commands and exits by comparing the bindings with the machine's report.
 
-    `alone`: whether no other node can have renewed the machine's lease. `ending`: attempts whose
-    exit was decided and is still being written.
+    `no_peer_renewed`: called once the lease has expired by this node's reckoning; returns whether
+    no other node can have renewed it. `ending`: attempts whose exit is decided and being written.
     """
     plan = Plan()
     s.reconciled = False  # an empty plan without trust or after the lease does not predict the next
@@ -223,12 +240,13 @@
             return plan
         for (job, index), target in desired.items():
             why = "machine lost: its lease ran out"
-            plan.exits.append(_exit_by_absence((job, index, target.task.attempt), s, "lost", why))
+            plan.exits.append(_inferred_exit((job, index, target.task.attempt), s, "lost", why))
         return plan
     if not s.trusted:
         return plan
     for (job, index), target in desired.items():
         _reconcile_task(s, (job, index, target.task.attempt), target, now, plan, ending)
+    # Reported tasks whose attempt is not bound to the machine are killed, or cleared if they ended.
     for (job, index), entry in s.tasks.items():
         bound = desired.get((job, index))
         if bound is not None and bound.task.attempt == entry.attempt:
@@ -238,7 +256,7 @@
         if entry.state != "exited":
             _plan_kill(s, attempt_id, 0.0, now, plan)
         elif sent is None or sent.settled:
-            # Unbound durably, and no `run` for it can still arrive.
+            # The stored state no longer binds it here, and no `run` for it can still arrive.
             plan.calls.append(m.clear(*attempt_id))
     for attempt_id in [k for k in s.sent if k[:2] not in desired and s.sent[k].settled]:
         del s.sent[attempt_id]
@@ -261,9 +279,10 @@
     if entry is not None and entry.attempt == attempt:
         if entry.state == "exited":
             outcome = _exit_outcome(entry)
-            # The machine only reports that it was stopped; users and operators see why.
-            ordered = entry.why in ("stopped", "peers") and target.end_reason
-            detail = target.task.stop or ordered or entry.why
+            # The machine reports only that the task was stopped, or ("peers") that its gang is
+            # broken. `end_reason` tells users and operators why.
+            stop_reason = entry.why in ("stopped", "peers") and target.end_reason
+            detail = target.task.stop or stop_reason or entry.why
             plan.exits.append(Exit(job, index, attempt, s.id, outcome, detail))
         elif target.end_reason:
             _plan_kill(s, attempt_id, 0.0, now, plan)
@@ -280,25 +299,25 @@
         why = (
             "never came up" if attempt_id not in s.seen else "vanished: the machine lost its lease"
         )
-        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", target.task.stop or why))
+        plan.exits.append(_inferred_exit(attempt_id, s, "lost", target.task.stop or why))
     elif attempt_id in ending:
         # The exit was decided because the start was never sent, and waits to be written. If the
         # start were sent now, the task would run here and be started elsewhere as well.
         plan.needs_replan = True
     elif target.end_reason or target.task.stop:
         plan.exits.append(
-            _exit_by_absence(attempt_id, s, "stopped", target.task.stop or target.end_reason)
+            _inferred_exit(attempt_id, s, "stopped", target.task.stop or target.end_reason)
         )
     elif s.unanswered_since is not None and now - s.unanswered_since > c.UNREACHED_S:
-        # No command with this start was ever sent.
-        plan.exits.append(_exit_by_absence(attempt_id, s, "lost", "its machine hears no order"))
+        # No command with this start was ever sent, so it can go to another machine.
+        plan.exits.append(_inferred_exit(attempt_id, s, "lost", "its machine hears no order"))
     else:
         plan.calls.append(m.run(*attempt_id))
         plan.runs.append(attempt_id)
 
 
-def _exit_by_absence(attempt_id: AttemptId, s: TrackedMachine, outcome: str, detail: str) -> Exit:
-    return Exit(*attempt_id, s.id, outcome, detail, by_absence=True)
+def _inferred_exit(attempt_id: AttemptId, s: TrackedMachine, outcome: str, detail: str) -> Exit:
+    return Exit(*attempt_id, s.id, outcome, detail, inferred=True)
 
 
 def _exit_outcome(entry: TaskStatus) -> str:
@@ -325,21 +344,23 @@
 
 def forget_kills(s: TrackedMachine, calls: list[dict[str, Any]]) -> None:
     """Makes kills among these unsent commands due at once, instead of after `KILL_REPEAT_S`."""
+    # "lift" (task), "pull" (attempt) and "ease_s" (grace period) are names of the wire protocol.
     for call in calls:
         if call["call"] == "kill":
             attempt_id = (*m.split_task(call["lift"]), call["pull"])
             s.killed_at.pop((attempt_id, call["ease_s"] > 0), None)
 
 
-FailureCause = Literal["job", "machine", "open"]  # of a failure; "open": unknown yet
+FailureCause = Literal["job", "machine", "open"]  # of task failures; "open": not known
 
 
 def is_sick(s: TrackedMachine, now: float, cause_of: Callable[[str, int], FailureCause]) -> bool:
     """Whether the machine caused the task failures seen on it lately.
 
-    `cause_of`: called with a job and how often it failed here. Jobs whose cause is still open count
-    too, but one more job must have failed unless some job is known to work elsewhere: two faulty
-    jobs, which fail on every machine, had healthy machines drained one after the other.
+    `cause_of`: called with a job and how often it failed here. Jobs whose cause is open count too,
+    but unless the failures of some job are known to be the machine's fault, one more job must have
+    failed. Otherwise two faulty jobs, which fail on every machine, would get healthy machines
+    drained one after the other. Drops failures older than `SICK_WINDOW_S` from the state.
     """
     if not s.errors:
         return False
@@ -347,8 +368,10 @@
     failed = Counter(attempt_id[0] for _, attempt_id in s.errors)
     if failed.total() < c.SICK_ERRORS or len(failed) < c.SICK_JOBS:
         return False
-    found = {job: cause_of(job, n) for job, n in failed.items()}
-    count = Counter(found.values())
-    jobs = count["machine"] + count["open"]
-    enough = jobs >= (c.SICK_JOBS if count["machine"] else c.SICK_JOBS + 1)
-    return enough and sum(n for job, n in failed.items() if found[job] != "job") >= c.SICK_ERRORS
+    causes = {job: cause_of(job, n) for job, n in failed.items()}
+    jobs_by_cause = Counter(causes.values())
+    suspect_jobs = jobs_by_cause["machine"] + jobs_by_cause["open"]
+    enough_jobs = suspect_jobs >= (c.SICK_JOBS if jobs_by_cause["machine"] else c.SICK_JOBS + 1)
+    return (
+        enough_jobs and sum(n for job, n in failed.items() if causes[job] != "job") >= c.SICK_ERRORS
+    )
--- a/tests/model/cut_zone.py
+++ b/tests/model/cut_zone.py
@@ -227,7 +227,7 @@
     """O's conclusion from M's lease, and the confirmation of the cancellation."""
     m = TrackedMachine("m", "t", "east", False, 0.0, s.floor << c.EPOCH_SHIFT, set())
     m.last_report_at, m.seen_token = 0.0, s.seen_token << c.EPOCH_SHIFT
-    m.last_answer_at = float(-s.answered) if s.answered >= 0 else None
+    m.checkin_answered_at = float(-s.answered) if s.answered >= 0 else None
     m.token_at = float(-s.token_at)
     over = lease_over(m, 0.0, float(LEASE))
     k = contact_of(s)
--- a/tests/test_credits.py
+++ b/tests/test_credits.py
@@ -24,7 +24,7 @@
     WaitingRequest,
     choose_victims,
     find_credit,
-    service_order,
+    request_order,
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
@@ -43,7 +43,7 @@
         "priority": priority,
         "guaranteed": False,
         "missed_objectives": 0,
-        "waiting_work": 0.0,
+        "order_value": 0.0,
         "tiebreak_time": 7.5,
         "gang": False,
         "spot": True,
@@ -187,11 +187,11 @@
             request(missed_objectives=1, tiebreak_time=0.5), "late anyway", 1.0, 9.0, 0.0
         ),
         WaitingRequest(request(tiebreak_time=1.0), "first", 3.0, 9.0, 0.0),
-        WaitingRequest(request(waiting_work=90.0, tiebreak_time=0.5), "large", 1.0, 9.0, 0.0),
+        WaitingRequest(request(order_value=90.0, tiebreak_time=0.5), "large", 1.0, 9.0, 0.0),
         WaitingRequest(request(guaranteed=True, missed_objectives=2), "owed", 2.0, 9.0, 0.0),
         WaitingRequest(request(priority=3), "prod", 3.0, 9.0, 0.0),
     ]
-    served = [waiting.leader for waiting in sorted(waiting_requests, key=service_order)]
+    served = [waiting.leader for waiting in sorted(waiting_requests, key=request_order)]
     assert served == ["prod", "owed", "first", "later", "large", "late anyway"]
 
 
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -35,7 +35,7 @@
     """A machine that reported these tasks in a check-in, which its owner answered."""
     tracked = TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
     apply_report(tracked, report_of(1, *tasks), 1.0, checkin=True)
-    tracked.last_answer_at = 1.0
+    tracked.checkin_answered_at = 1.0
     return tracked
 
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -71,9 +71,9 @@
             s.sent[start(words[2])] = SentStart(s.session, 0, direct=True)
         elif verb == "unanswered":
             s.sent[start(words[1])].direct = False
-            s.sent[start(words[1])].fence = int(words[3])
+            s.sent[start(words[1])].fence_token = int(words[3])
         elif verb == "answered":
-            s.last_answer_at = self.now
+            s.checkin_answered_at = self.now
         elif verb == "wait":
             self.now += float(words[1])
         else:
@@ -144,7 +144,7 @@
     assert reconcile(s, desired, 12.0, 14.0).runs == [("j-1", 0, 1)]
     plan = reconcile(s, desired, 15.0, 14.0)
     assert plan.runs == [] and [e.outcome for e in plan.exits] == ["lost"]
-    s.sent[("j-1", 0, 1)] = SentStart(1, 0, fence=9)  # may still be executed
+    s.sent[("j-1", 0, 1)] = SentStart(1, 0, fence_token=9)  # may still be executed
     assert reconcile(s, desired, 15.0, 14.0).exits == []
     s.sent.clear()
     s.inherited = {("j-1", 0, 1)}  # perhaps started by an earlier owner; not in its report
--- a/tests/test_waiting_turns.py
+++ b/tests/test_waiting_turns.py
@@ -4,7 +4,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal import rules
-from pulleydeal.credits.queue import WaitingRequest, service_order
+from pulleydeal.credits.queue import WaitingRequest, request_order
 from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.placement.failures import FailureBackoff
 from pulleydeal.placement.pending import PendingRequest, PendingRequests
@@ -90,7 +90,7 @@
     ]
     served = [
         (waiting.request.job, waiting.request.index)
-        for waiting in sorted(waiting_requests, key=service_order)
+        for waiting in sorted(waiting_requests, key=request_order)
     ]
     # j-3 has a third of its copies, so it follows when the others have two of their six.
     assert served[:5] == [("j-1", 0), ("j-2", 0), ("j-1", 1), ("j-2", 1), ("j-3", 1)]
--- a/tests/test_wrong_answers.py
+++ b/tests/test_wrong_answers.py
@@ -118,7 +118,7 @@
         no_change,
         FixedReply(json_response(409, msgspec.json.decode(checkin_request("vm-1", 2).body))),
     )
-    assert workers.machines["vm-1"].sent[START].fence is not None
+    assert workers.machines["vm-1"].sent[START].fence_token is not None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -103,7 +103,7 @@
 def test_a_lease_counts_from_when_the_machine_held_the_owners_token() -> None:
     """The owner's first answer was lost, and an earlier owner with an older copy renewed later."""
     s = TrackedMachine("vm-1", "t4", "east", False, 0.0, 7 << c.EPOCH_SHIFT, set())
-    s.last_report_at, s.last_answer_at, s.seen_token = 30.0, 10.0, 6 << c.EPOCH_SHIFT
+    s.last_report_at, s.checkin_answered_at, s.seen_token = 30.0, 10.0, 6 << c.EPOCH_SHIFT
     assert not lease_over(s, 100.0, LEASE_S)
     s.seen_token, s.token_at = 7 << c.EPOCH_SHIFT, 30.0
     assert not lease_over(s, 30.0 + LEASE_S, LEASE_S)
@@ -118,7 +118,7 @@
             "vm-1", "a:1", "t4", "east", False, session, 1, 7 << c.EPOCH_SHIFT, None, []
         )
         assert apply_report(s, report, at, checkin=False)
-        s.last_answer_at = 10.0
+        s.checkin_answered_at = 10.0
     assert not lease_over(s, 100.0 + LEASE_S, LEASE_S)
     assert lease_over(s, 101.1 + LEASE_S, LEASE_S)
 
