--- a/pulleydeal/constants.py
+++ b/pulleydeal/constants.py
@@ -86,6 +86,7 @@
 PROBE_REPORTS = 1.4  # report periods of silence before a machine is probed
 SILENT_SHARE = 0.34  # share of a node's machines whose silence may be the node's own fault
 SILENT_FEW = 3  # up to this many silent machines are never taken for the node's own fault
+# Quiet machines have been silent for longer than PROBE_REPORTS.
 ZONE_SILENT_FEW = 2  # up to this many quiet machines of one zone are never taken for a cut
 ZONE_SILENT_SHARE = 0.5  # share of the known machines of a zone, quiet at once, that means a cut
 UNSEEN_KEEP_S = 120.0  # machines behind a cut are kept for this long: cuts last under a minute
--- a/pulleydeal/credits/queue.py
+++ b/pulleydeal/credits/queue.py
@@ -29,15 +29,15 @@
             and need.memory <= self.memory + ROUNDING_TOLERANCE
         )
 
-    def subtract(self, need: Resources) -> None:
-        self.cpus -= need.cpus
-        self.gpus -= need.gpus
-        self.memory -= need.memory
-
-    def add(self, need: Resources) -> None:
-        self.cpus += need.cpus
-        self.gpus += need.gpus
-        self.memory += need.memory
+    def subtract(self, amount: Resources) -> None:
+        self.cpus -= amount.cpus
+        self.gpus -= amount.gpus
+        self.memory -= amount.memory
+
+    def add(self, amount: Resources) -> None:
+        self.cpus += amount.cpus
+        self.gpus += amount.gpus
+        self.memory += amount.memory
 
 
 @dataclass(slots=True)
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -85,7 +85,7 @@
             with self._lock:
                 self._requests.keep_only_writing()
             self._cleanup.mark_all_bound()
-        elif kind in ("machine", "bound"):
+        elif kind in ("machine", "bound"):  # for these, `name` is the machine
             self._cleanup.mark_machine(name)
         self._wake.set()
 
@@ -93,7 +93,6 @@
         """Why tasks of the job wait, as of the last round; "" if there is no reason."""
         return self._wait_reasons.get(job, "")
 
-    # --- the round ------------------------------------------------------------------------
     async def work(self) -> None:
         try:
             async with asyncio.timeout(c.PLACE_TICK_S):
@@ -225,6 +224,7 @@
         max_requests = self._max_requests(job, spec, now)
         wanted = job.waiting(max_requests)
         if len(self._requests.for_job(job.id)) >= max_requests:
+            # Requests of tasks no longer among the first to wait make room for those that are.
             for index_to_drop in self._requests.stale_indexes(job.id, set(wanted)):
                 self._drop_request((job.id, index_to_drop), notify_owner=True)
         open_requests = len(self._requests.for_job(job.id))
@@ -285,7 +285,7 @@
             self._drop_request(key, notify_owner=True)
         if pending is None or is_changed:
             since = pending.since if pending else now
-            pending = PendingRequest(owner, -1e9, since, zones, now)
+            pending = PendingRequest(owner, -1e9, since, zones, now)  # -1e9: not sent yet
             self._requests.put(key, pending)
         pending.review_at = now + c.ASK_LOOK_S
         if now - pending.sent_at >= c.ASK_REPEAT_S:
@@ -308,12 +308,12 @@
             return [self._choose_single_zone(job.id, spec, allowed, owners, now)]
         return allowed
 
-    def _used_zones(self, job: Job, key: TaskId | None) -> Counter[str]:
+    def _used_zones(self, job: Job, excluded: TaskId | None) -> Counter[str]:
         machines = [task.machine for _, task in job.bindings()]
         machines += [
             p.machine
             for index, p in self._requests.for_job(job.id).items()
-            if (job.id, index) != key and p.machine and index not in job.bound_tasks
+            if (job.id, index) != excluded and p.machine and index not in job.bound_tasks
         ]
         return rules.count_by_zone(machines, self._replica.zone_of)
 
--- a/pulleydeal/rules.py
+++ b/pulleydeal/rules.py
@@ -118,26 +118,32 @@
         return 0, 0.0
     if spec.kind == "service":
         return 0, job.bound / spec.tasks
-    age = wall - job.waiting_since
+    age_s = wall - job.waiting_since
     missed_objectives = 0
+    # `record.at`: when the job was accepted. `times`: acceptable multiple of the job's deadline.
     for objective in objectives:
         if objective.klass != spec.klass:
             continue
         if objective.kind == "wait" and objective.within_s is not None:
-            missed_objectives += age > objective.within_s
+            missed_objectives += age_s > objective.within_s
         elif objective.kind == "finished" and objective.within_s is not None:
-            missed_objectives += age + spec.estimate_s > objective.within_s
+            missed_objectives += age_s + spec.estimate_s > objective.within_s
         elif objective.kind == "deadline" and spec.deadline_s is not None:
             deadline = record.at + spec.deadline_s * (objective.times or 1.0)
             missed_objectives += wall + spec.estimate_s > deadline
     has_objective = any(objective.klass == spec.klass for objective in objectives)
-    if spec.kind == "array" and age > c.ARRAY_FIRST_START_S and has_objective and not job.has_begun:
+    if (
+        spec.kind == "array"
+        and age_s > c.ARRAY_FIRST_START_S
+        and has_objective
+        and not job.has_begun
+    ):
         # Otherwise, with the shortest first, the longest arrays would not start a single task.
         return 0, c.LEAST_WORK
     remaining_work_s = (spec.tasks - job.done - job.bound) * (spec.estimate_s or 1.0)
     if policy is not None and policy.has_expression("order"):
         return missed_objectives, policy.value(
-            "order", _policy_inputs(job, spec, age, remaining_work_s)
+            "order", _policy_inputs(job, spec, age_s, remaining_work_s)
         )
     if job.in_pipeline:
         # A late job goes behind others, unless it is too small to delay them. Otherwise gangs of
@@ -160,7 +166,7 @@
 
 
 def task_rank(spec: r.JobSpec, rank: QueueRank, ahead: int) -> QueueRank:
-    """Rank of one waiting task; `ahead` is the number of its job's tasks before it.
+    """Rank of one waiting task; `ahead`: tasks of its job bound, granted or before it.
 
     Copies (tasks) of one service that wait at the same time get different ranks, so that each of
     forty services gets its first copy before one gets its second. With equal ranks, the services
@@ -177,6 +183,7 @@
     spec, record = job.spec, job.record
     if spec is None or record is None:
         return False
+    # `job.due` is the latest end for the deadlines of the job and its dependents.
     deadlines = [job.due] if job.due < float("inf") else []
     for objective in objectives:
         if objective.klass != spec.klass:
@@ -236,6 +243,6 @@
     )
 
 
-def error_backoff_s(fails: int) -> float:
-    """Exponential back-off before a task that failed `fails` times is tried again."""
-    return min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2.0 ** min(fails - 1, 10))
+def error_backoff_s(failures: int) -> float:
+    """Exponential back-off before a task that failed `failures` times is tried again."""
+    return min(c.ERROR_BACKOFF_MAX_S, c.ERROR_BACKOFF_S * 2.0 ** min(failures - 1, 10))
--- a/pulleydeal/workers/eviction.py
+++ b/pulleydeal/workers/eviction.py
@@ -62,8 +62,8 @@
 
     def unreachable_zones(self) -> set[str]:
         """Zones that are currently unreachable, as seen by this node and its peers."""
-        machines, others = list(self._machines.values()), self._partition_policy.peer_observations()
-        return unreachable_zones(machines, self._clock.now(), self._times.report_s, others)
+        machines, counts = list(self._machines.values()), self._partition_policy.peer_observations()
+        return unreachable_zones(machines, self._clock.now(), self._times.report_s, counts)
 
     async def run_round(self) -> None:
         """One round: probes machines, marks some for drain, and stops tasks as described above."""
@@ -71,7 +71,7 @@
         if not self._membership.is_member:
             return
         now = self._clock.now()
-        self._commander.orders.drop_stale()
+        self._commander.orders.drop_stale()  # closes connections long unused
         report_s = self._times.report_s
         machines = list(self._machines.values())
         silent = {
--- a/pulleydeal/workers/tracked_machine.py
+++ b/pulleydeal/workers/tracked_machine.py
@@ -23,9 +23,9 @@
     """A task as the machine last reported it."""
 
     attempt: int
-    state: str
-    why: str = ""
-    saved: bool = False
+    state: str  # a value of `messages.STATES`
+    why: str = ""  # reason that the machine gave for its exit, translated by `messages.WHY`
+    saved: bool = False  # its work was saved before it ended
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     index: int
     attempt: int
     machine: str
-    outcome: str  # done, error, saved, stopped, lost, refused, ...
+    outcome: str  # done, error, saved, stopped, lost, refused, or another reason given
     detail: str
     # Not reported by the machine but inferred by its owner, such as from an expired lease: valid
     # only while that node owns the machine without a break. A reported exit stays valid.
@@ -170,7 +170,7 @@
         try:
             task_id = m.split_task(t.task)
         except ValueError:
-            continue
+            continue  # malformed task id
         why = m.WHY.get(t.why or "", t.why or "")
         s.tasks[task_id] = TaskStatus(t.attempt, m.STATES[t.state], why, bool(t.saved))
         s.seen.add((*task_id, t.attempt))
@@ -321,11 +321,12 @@
 
 
 def _exit_outcome(entry: TaskStatus) -> str:
+    # The machine refused the start: these are texts of `messages.WHY`.
     if entry.why in ("no room", "busy", "unknown"):
         return "refused"
     if entry.why == "stopped":
         return "saved" if entry.saved else "stopped"
-    return entry.why or "lost"
+    return entry.why or "lost"  # lost: ended without a reason
 
 
 def _plan_kill(
