--- a/experiments/profile.py
+++ b/experiments/profile.py
@@ -77,7 +77,7 @@
     "Credits._publish (pulleydeal/credits/service.py)": CREDIT_TOTALS,
     "totals (pulleydeal/credits/totals.py)": CREDIT_TOTALS,
     "Placement.work (pulleydeal/placement/service.py)": PLACEMENT_ROUND,
-    "Placement._round (pulleydeal/placement/service.py)": PLACEMENT_ROUND,
+    "Placement._place_all (pulleydeal/placement/service.py)": PLACEMENT_ROUND,
     "Membership.send_heartbeat (pulleydeal/membership/service.py)": HEARTBEAT,
     "Membership._on_heartbeat (pulleydeal/membership/service.py)": HEARTBEAT,
     "unpack_heartbeat (pulleydeal/membership/messages.py)": HEARTBEAT,
