--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Rental planning: which machines to rent and which are unused. Plain functions."""
+"""Rental planning: which machines to rent and which are unused. Packing changes the plan."""
 
 import logging
 import math
@@ -21,7 +21,8 @@
 
 log = logging.getLogger("pulleydeal.fleet")
 MachineKind = tuple[str, str, bool]  # type, zone, spot
-KindFilter = Literal["any", "spot", "cheap"]  # cheap: spot, and on-demand that is used anyway
+# cheap: spot machines, and on-demand ones that other than idle-time work keeps in use
+KindFilter = Literal["any", "spot", "cheap"]
 NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 
 
@@ -31,10 +32,11 @@
 
     kind: MachineKind
     room: FreeCapacity
-    machine: str = ""
-    # Resources of its idle-time tasks; free for jobs that may preempt them
+    machine: str = ""  # empty: not rented yet
+    # Resources of its idle-time tasks (`rules.is_idle_time_work`), which some jobs may preempt.
+    # Free in `room`, except while `plan_rentals` packs jobs that may not preempt them.
     preemptible: Resources = NO_RESOURCES
-    idle_time_only: bool = False  # on-demand, and nothing but idle-time work uses it
+    idle_time_only: bool = False  # on-demand, and at most idle-time work uses it
 
 
 @dataclass(slots=True)
@@ -48,20 +50,20 @@
     types: dict[str, r.MachineType]
     teams: dict[str, Team]
     zones: list[str]
-    unavailable: set[MachineKind]  # kinds of which the cloud lately had none
-    headroom: list[r.JobSpec] = field(default_factory=list)  # jobs for which room is kept free
+    unavailable: set[MachineKind]  # kinds that the cloud recently could not provide
+    headroom: list[r.JobSpec] = field(default_factory=list)  # jobs for which capacity is kept free
     new_bins: list[Bin] = field(default_factory=list)
     expected_ends: float = 0.0  # tasks that likely end before a machine rented now is up
-    # Room only shrinks while tasks are packed, so a bin that is too small for one task is too
-    # small for the next of the same shape: the search resumes at the last bin that fitted.
+    # Free capacity only shrinks while tasks are packed, so a bin that is too small for one task
+    # is too small for the next of the same shape: the search resumes at the last bin that fitted.
     next_bin: dict[tuple[object, ...], int] = field(default_factory=dict)
     zone_machines: Counter[str] = field(default_factory=Counter)  # machines of each zone
 
-    # Zones in which nothing is rented: out of sight, or back for too short a time
+    # Zones in which nothing is rented: unreachable, or reachable again only recently
     excluded_zones: set[str] = field(default_factory=set)
     target_classes: set[str] = field(default_factory=set)  # job classes that have a time objective
-    wall: float = 0.0
-    spot_types: set[str] | None = None  # types worth renting as spot; None: by the default discount
+    wall: float = 0.0  # wall clock, in seconds
+    spot_types: set[str] | None = None  # types to rent as spot; None: by the default policy
 
     def __post_init__(self) -> None:
         if self.spot_types is None:
@@ -73,7 +75,7 @@
 
 
 def split_catalog(catalog: r.Catalog, limits: Limits) -> list[r.Catalog]:
-    """Splits the catalogue into parts that fit into one value; omits types too large for one."""
+    """Splits the catalog into parts that fit into state service values; omits larger types."""
     parts = [r.Catalog([])]
     for type_ in catalog.types:
         alone = r.Catalog([type_])
@@ -99,7 +101,7 @@
 
 
 def worthwhile_spot_types(types: dict[str, r.MachineType], policy: Policy) -> set[str]:
-    """Types whose spot price is low enough to accept the loss of spot machines."""
+    """Types whose spot price is low enough to make up for the preemption of spot machines."""
     return {
         t.name
         for t in types.values()
@@ -109,7 +111,7 @@
 
 
 def fast_start_classes(objectives: list[Objective], boot_s: float) -> tuple[set[str], bool]:
-    """Classes with a waiting time objective within a boot, and whether a guarantee has one."""
+    """Classes with a waiting time objective within `boot_s`, and whether a "guarantee" has one."""
     classes, guarantee = set(), False
     for objective in objectives:
         if objective.within_s is None or objective.within_s > boot_s:
@@ -123,7 +125,10 @@
 def headroom_jobs(
     recent: list[tuple[float, r.JobSpec]], wall: float, boot_s: float
 ) -> list[r.JobSpec]:
-    """The latest jobs of a class, as many as arrive on average while a machine boots."""
+    """The latest jobs of `recent`, as many as arrive on average while a machine boots.
+
+    `recent`: (time of arrival, spec) of one class, oldest first.
+    """
     arrived = [spec for at, spec in recent if wall - at < c.ARRIVALS_S]
     count = math.ceil(len(arrived) / c.ARRIVALS_S * boot_s)
     return arrived[-count:] if count else []
@@ -139,8 +144,11 @@
 
 
 class FreeResources:
-    """Free resources of each machine and those used by its idle-time tasks; cached until the
-    machine's bindings change."""
+    """Free resources of each machine and those used by its idle-time tasks.
+
+    Cached until the machine, its bindings, the view or the catalog change. Resources that idle-time
+    tasks use count as free.
+    """
 
     def __init__(self, replica: Replica, target_classes: set[str]) -> None:
         self._replica = replica
@@ -151,7 +159,7 @@
     def _on_change(self, kind: str, name: str) -> None:
         if kind in ("bound", "machine"):
             self._cache.pop(name, None)
-        elif kind in ("view", "catalog"):  # a full reload of the replica reports "view"
+        elif kind in ("view", "catalog"):  # "view" also reports a full reload of the replica
             self._cache.clear()
 
     def of(self, machine: str, type_: r.MachineType) -> tuple[FreeCapacity, Resources]:
@@ -180,33 +188,37 @@
 
 
 def available_bins(
-    replica: Replica, wall: float, free: FreeResources, unseen_zones: set[str] | None = None
+    replica: Replica, wall: float, free: FreeResources, unreachable_zones: set[str] | None = None
 ) -> list[Bin]:
-    """Machines that are up or booting, except in zones out of sight, where nothing can start."""
+    """Machines that are up or booting, except in unreachable zones, where nothing can start."""
     found = []
     for machine in replica.machines.values():
         rec = machine.record
         type_ = replica.types.get(rec.type)
-        if type_ is None or rec.state not in ("up", "boot") or rec.zone in (unseen_zones or ()):
+        if (
+            type_ is None
+            or rec.state not in ("up", "boot")
+            or rec.zone in (unreachable_zones or ())
+        ):
             continue
         if rec.state == "boot" and wall - rec.at > c.BOOT_LATE_FACTOR * type_.boot_s:
-            continue  # overdue: not counted on
+            continue  # overdue, so it may never come up
         room, preemptible = free.of(machine.id, type_)
         found.append(Bin((rec.type, rec.zone, rec.spot), room, machine.id, preemptible))
-    # Spot first, as tasks that may use it are placed there. Then the fullest, so that what stays
-    # free are entire machines, which can be returned.
-    found.sort(key=lambda s: (not s.kind[2], s.room.gpus, s.room.cpus))
+    # Spot first, as tasks that may use it are placed there. Then those with the least free GPUs,
+    # then CPUs, so that whole machines stay empty and can be returned.
+    found.sort(key=lambda bin_: (not bin_.kind[2], bin_.room.gpus, bin_.room.cpus))
     return found
 
 
 def is_price_sensitive(job: Job, spec: r.JobSpec, target_classes: set[str], wall: float) -> bool:
-    """Whether no on-demand machine is rented for a job, as it is idle-time work that can wait.
+    """Whether a job is idle-time work that waits for spot or free capacity.
 
-    Without this rule six guest users' arrays without a time objective rented every on-demand
-    machine there was, at four times the price (docs/results.md). To avoid starvation, on-demand
-    machines are rented for a job that has waited for longer than its tasks run, and at least for
-    IDLE_WORK_WAITS_S, if less than half of its tasks have started. For tasks shorter than that
-    only if none has: they gain nothing from a machine that has yet to boot.
+    No on-demand machine is rented for it: six arrays without a time objective once rented every
+    available on-demand machine, at four times the price (docs/results.md). To avoid starvation,
+    a job stops being price-sensitive once it has waited for longer than its tasks run and than
+    IDLE_WORK_WAITS_S, if less than half of its tasks have started. If its tasks are shorter than
+    IDLE_WORK_WAITS_S, none may have started: they gain nothing from a machine that has yet to boot.
     """
     if not rules.is_idle_time_work(spec, target_classes):
         return False
@@ -219,25 +231,26 @@
 def plan_rentals(plan: PlanState) -> Counter[MachineKind]:
     """Packs the waiting tasks onto existing machines; returns what to rent for the rest.
 
-    Resources of idle-time tasks count as free for jobs that may preempt them. Counted as used,
-    they caused every available on-demand machine to be rented (docs/results.md).
+    Resources of idle-time tasks count as free for jobs that may preempt them, and as used for the
+    others. Counted as used for all, they caused every available on-demand machine to be rented
+    (docs/results.md).
     """
     plan.zone_machines = Counter(bin_.kind[1] for bin_ in plan.bins)
-    left = _pack(plan, [job for job in plan.jobs if _preempts(job)], c.PLAN_TASKS)
-    shared = [bin_ for bin_ in plan.bins if bin_.preemptible is not NO_RESOURCES]
+    tasks_left = _pack(plan, [job for job in plan.jobs if _may_preempt(job)], c.PLAN_TASKS)
+    bins_with_idle_work = [bin_ for bin_ in plan.bins if bin_.preemptible is not NO_RESOURCES]
     for bin_ in plan.bins:
         bin_.idle_time_only = not bin_.kind[2] and _is_unused(plan, bin_)
-    for bin_ in shared:
+    for bin_ in bins_with_idle_work:
         bin_.room.subtract(bin_.preemptible)
-    left = _pack(plan, [job for job in plan.jobs if not _preempts(job)], left)
-    for bin_ in shared:
+    tasks_left = _pack(plan, [job for job in plan.jobs if not _may_preempt(job)], tasks_left)
+    for bin_ in bins_with_idle_work:
         bin_.room.add(bin_.preemptible)
-    if shared:
-        plan.next_bin.clear()  # room was given back, so earlier bins may fit again
+    if bins_with_idle_work:
+        plan.next_bin.clear()  # capacity was freed, so earlier bins may fit again
     for spec in plan.headroom:
         used = Counter[str]()
-        for _ in range(min(left, spec.tasks)):
-            left -= 1
+        for _ in range(min(tasks_left, spec.tasks)):
+            tasks_left -= 1
             # Headroom for jobs that may use spot machines does not justify the on-demand price.
             keep: KindFilter = "spot" if spec.spot and plan.has_spot_types else "any"
             if not _place(plan, spec, used, keep, rented_kinds=keep):
@@ -245,12 +258,13 @@
     return Counter(bin_.kind for bin_ in plan.new_bins)
 
 
-def _preempts(job: Job) -> bool:
-    """Whether idle-time tasks may be preempted for the job."""
+def _may_preempt(job: Job) -> bool:
+    """Whether the job may preempt idle-time tasks."""
     return job.spec is not None and job.spec.priority > 0
 
 
 def _is_unused(plan: PlanState, bin_: Bin) -> bool:
+    """Whether nothing uses the bin except idle-time tasks that run on it already."""
     type_ = plan.types[bin_.kind[0]]
     used = (
         type_.cpus - bin_.room.cpus,
@@ -261,8 +275,10 @@
 
 
 def unused_machines(plan: PlanState) -> set[str]:
-    """After planning: machines without bound or planned tasks; for on-demand ones idle-time tasks
-    don't count."""
+    """After planning: machines without bound or planned tasks.
+
+    Idle-time tasks keep a spot machine in use, but not an on-demand one.
+    """
     return {
         bin_.machine
         for bin_ in plan.bins
@@ -272,7 +288,8 @@
     }
 
 
-def _pack(plan: PlanState, jobs: list[Job], left: int) -> int:
+def _pack(plan: PlanState, jobs: list[Job], tasks_left: int) -> int:
+    """Places waiting tasks of the jobs; considers and returns the budget of `tasks_left`."""
     for job in jobs:
         spec = job.spec
         if spec is None or spec.team not in plan.teams:
@@ -282,8 +299,8 @@
             continue
         used = rules.count_by_zone([t.machine for _, t in job.bindings()], plan.zone_of)
         price_sensitive = is_price_sensitive(job, spec, plan.target_classes, plan.wall)
-        for _ in range(min(left, waiting)):
-            left -= 1
+        for _ in range(min(tasks_left, waiting)):
+            tasks_left -= 1
             after = rules.add(plan.usage.get(spec.team, (0.0, 0.0)), (spec.cpus, spec.gpus))
             if not rules.within_limit(plan.teams[spec.team], after):
                 break
@@ -296,8 +313,9 @@
             if not _place(plan, spec, used, rented_kinds="spot" if expects_room else "any"):
                 if not expects_room:
                     break
-                plan.expected_ends -= 1.0  # its room is free before a new machine boots
-    return left
+                # The task gets the capacity of one that ends before a new machine is up.
+                plan.expected_ends -= 1.0
+    return tasks_left
 
 
 def _place(
--- a/pulleydeal/fleet/service.py
+++ b/pulleydeal/fleet/service.py
@@ -139,7 +139,7 @@
     def _plan_state(self) -> plan.PlanState:
         now = self._clock.now()
         self._unavailable = {k: until for k, until in self._unavailable.items() if until > now}
-        jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
+        jobs = [self._replica.jobs[job] for job in self._replica.jobs_with_spec]
         jobs = [job for job in jobs if job.is_ready and job.spec is not None]
         jobs.sort(
             key=lambda j: (
--- a/pulleydeal/operators/service.py
+++ b/pulleydeal/operators/service.py
@@ -116,7 +116,7 @@
         self._require_replica()
         state = request.choice_param("state", STATES, "open")
         jobs = self._replica.jobs
-        candidates = self._replica.open_jobs if state == "open" else jobs
+        candidates = self._replica.jobs_with_spec if state == "open" else jobs
         names = (n for n in candidates if state == "all" or _status(jobs[n]) == state)
         return paginate(request, names, lambda name: _summary(jobs[name]))
 
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -154,7 +154,7 @@
         if cache_key != self._led_jobs_key:
             if self._led_jobs_key is None or self._led_jobs_key[1:] != cache_key[1:]:
                 self._leads_cache.clear()  # the view determines the leaders of jobs
-            self._open_jobs = [self._replica.jobs[job] for job in self._replica.open_jobs]
+            self._open_jobs = [self._replica.jobs[job] for job in self._replica.jobs_with_spec]
             self._led_jobs = [j for j in self._open_jobs if j.spec and self._leads_job(j.spec)]
             self._led_jobs_key = cache_key
         return self._open_jobs, self._led_jobs
@@ -193,7 +193,7 @@
         if now - self._pruned_at < c.TIDY_S:
             return
         self._pruned_at = now
-        open_jobs = self._replica.open_jobs
+        open_jobs = self._replica.jobs_with_spec
         self._failures.retain_jobs(open_jobs)
         self._granted_at = {job: v for job, v in self._granted_at.items() if job in open_jobs}
         self._gang_zone = {job: v for job, v in self._gang_zone.items() if job in open_jobs}
--- a/pulleydeal/rollouts/constants.py
+++ b/pulleydeal/rollouts/constants.py
@@ -1,34 +1,35 @@
-"""Constants of roll-outs, each with its unit and reason."""
+"""Constants of roll-outs. Suffixes: _S seconds, _MS milliseconds, _B bytes."""
 
-FORMAT = 1  # of the records; shown in p/s/NODE
-MOST_COPIES = 24  # of a service: its record must fit into a value of 2 KB, with the surge
-MOST_SURGE = 8  # copies above that while rolling out, for the same reason
-MOST_STEPS = 10  # a roll-out of more steps is a schedule
-KEPT_VERSIONS = 4  # descriptions kept of a service: the good one, the target and two before
-KEPT_ENTRIES = 60  # of a service's history: some three roll-outs with all that happened
-EVIDENCE_LINES = 8  # in an entry: which copies, which checks, when
-EVIDENCE_CHARS = 120  # of one line; an entry must fit into a value
-AT_ONCE = 6  # copies started or stopped in one transaction: 10 changes are the fewest allowed
-FAILS_AGAINST = 2  # failed starts of one copy that speak against it: a first may be its machine's
+FORMAT = 1  # version of the stored records; announced in p/s/NODE
+MOST_COPIES = 24  # of a service; its record, with the surge, must fit into a value of 2 KB
+MOST_SURGE = 8  # additional copies during a roll-out; limited for the same reason
+MOST_STEPS = 10  # of a roll-out; more would amount to a schedule
+KEPT_VERSIONS = 4  # descriptions kept per service: good version, target and two earlier ones
+KEPT_ENTRIES = 60  # history entries kept per service: about three roll-outs
+EVIDENCE_LINES = 8  # per history entry: which copies, which checks, when
+EVIDENCE_CHARS = 120  # per line; an entry must fit into a state service value
+AT_ONCE = 6  # copies started or stopped per transaction; the lowest limit is 10 changes
+FAILS_AGAINST = 2  # failures that count against a copy; a single one may be its machine's fault
 
-TICK_S = 0.25  # how often a leader looks at services that roll out
-STEADY_S = 1.0  # and at all others; a look that changes nothing writes nothing
+TICK_S = 0.25  # interval at which a leader evaluates services with a roll-out
+STEADY_S = 1.0  # the same for all others; an evaluation without changes writes nothing
 PROBES_AT_ONCE = 16  # bounds sockets and memory; a healthy copy answers within milliseconds
-PROBE_BODY_B = 4_096  # of a copy's answer that is looked at
-REGISTERED_S = 15.0  # a registration lives so long without being renewed (copies renew each 3 s)
-RENEW_S = 3.0  # what copies are told
-OLD_ROUNDS = 3.0  # check intervals after which evidence is too old to say anything
-LATE_ROUND_S = 1.0  # a round that began so much late was a prober's trouble, and proves nothing
-FLAP_WINDOW_S = 60.0  # changes from healthy to unhealthy within this are counted together
-FLAPS = 3  # so many, and the copy counts as unhealthy until the window has passed
-LOST_S = 10.0  # unknown for so long, a copy's place is filled elsewhere
-REPLACE_S = 30.0  # an unhealthy copy of the good version is replaced after this
-QUEUED_S = 30.0  # a copy that waits so long for room in its zone is placed in another
+PROBE_BODY_B = 4_096  # not used; for the bytes of a copy's answer that are read
+REGISTERED_S = 15.0  # lifetime of a registration that is not renewed (copies renew each 3 s)
+RENEW_S = 3.0  # renewal interval that is sent to copies
+OLD_ROUNDS = 3.0  # check intervals after which evidence is too old to count
+LATE_ROUND_S = 1.0  # a round of checks that is later proves nothing: the prober was delayed
+FLAP_WINDOW_S = 60.0  # period over which changes from healthy to unhealthy are counted
+FLAPS = 3  # changes within that period that make a copy unhealthy until it has passed
+LOST_S = 10.0  # a copy in unknown state for longer is replaced elsewhere
+REPLACE_S = 30.0  # an unhealthy copy of the good version is replaced after this time
+QUEUED_S = 30.0  # a copy that waits for capacity in its zone for longer moves to another
 HOLD_MS_MOST = 30_000  # longest poll of endpoints
-HELD_POLLS = 64  # polls held at once on a node: bounds connections
-RETRY_S = 1  # what is told with 503
-EMPTY_LEAVE_S = 1.0  # a copy that says it is idle leaves after this: polls have brought the news
-"""Statuses of a copy, as decisions see them."""
+HELD_POLLS = 64  # concurrent long polls per node; bounds connections
+RETRY_S = 1  # Retry-After of 503 answers
+# An idle copy stops this long after leaving the endpoints; polls have told clients by then.
+EMPTY_LEAVE_S = 1.0
+"""States of a copy, as used by the decisions."""
 QUEUED, STARTING, HEALTHY, UNHEALTHY, UNKNOWN = (
     "queued",
     "starting",
--- a/pulleydeal/store/replica.py
+++ b/pulleydeal/store/replica.py
@@ -38,19 +38,19 @@
 
 
 # Called with (kind, id). Kinds: view, member, software, job, machine, rental, catalog, feature,
-# journal, and bound, whose id is a machine with changed bindings. It saves listeners from scanning
-# all machines or all tasks of a job.
+# journal, and bound, whose id is a machine with changed bindings: with "bound", listeners need not
+# scan all machines or all tasks of a changed job.
 Listener = Callable[[str, str], None]
 
 
 class Replica:
-    """Read by plain attribute access on the event loop; changed only under its lock."""
+    """Read by plain attribute access on the event loop; each change is made under the lock."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._listeners: list[Listener] = []
-        # Enabled feature -> its records by name, with their versions. Records of features that
-        # are not enabled here are not kept.
+        # Feature enabled on this node -> its records by name: (value, version). Records of other
+        # features are not kept.
         self._features: dict[str, dict[str, tuple[bytes, int]]] = {}
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self.job_changes = 0  # incremented when a job record changes, and on each reload
@@ -60,40 +60,45 @@
         self.revision = 0
         self.loaded = False
         self.jobs: dict[str, Job] = {}
-        self.open_jobs: set[str] = set()
-        # Those of `open_jobs` that are cancelled: some of their tasks may not be proved gone.
+        # Jobs that are not retired, whatever their status: their records still have the spec.
+        self.jobs_with_spec: set[str] = set()
+        # Cancelled jobs among those: some of their tasks may not be proved gone.
         self.cancelled_jobs: set[str] = set()
         self.machines: dict[str, Machine] = {}
         self.rentals: dict[str, Rental] = {}
-        self.members: dict[str, str] = {}
-        self.member_formats: dict[str, int] = {}  # member -> record format of its version
-        self.node_formats: dict[str, int] = {}  # node -> the same, kept while it is away
+        self.members: dict[str, str] = {}  # member -> incarnation
+        self.member_formats: dict[str, int] = {}  # member -> its release's record format
+        self.node_formats: dict[str, int] = {}  # the same of each node, member or not
         self.node_features: dict[str, dict[str, int]] = {}  # node -> its enabled features
         for records in self._features.values():
             records.clear()
         self.view = r.View()
         self.view_version = 0
         self.catalog = r.Catalog()
-        self.extra_types: dict[str, r.Catalog] = {}  # not in the catalog's value
+        self.extra_types: dict[str, r.Catalog] = {}  # more types, under keys of their own
         self.types: dict[str, r.MachineType] = {}
         self.tasks_by_machine: dict[str, dict[TaskId, r.Task]] = {}
         self.zone_of: dict[str, str] = {}  # machine -> zone
         self.job_changes += 1
         self._pipelines = Pipelines(self.jobs)
-        self._affected_jobs: set[str] = set()  # changed by facts or by other jobs, not yet notified
+        self._affected_jobs: set[str] = set()  # changed by facts or other jobs; to be notified
         self._usage: dict[str, tuple[float, float]] = {}  # team -> cpus, gpus of its bound tasks
-        self._rebound_machines: set[str] = set()  # machines with changed bindings, not yet notified
-        # Journal values by start and position, and facts of jobs not known yet: during a load,
-        # a journal value may be read that is newer than the pages with the jobs.
+        self._rebound_machines: set[str] = set()  # machines with changed bindings; to be notified
+        # "<process start>/<position in its journal>" -> value
         self.journals: dict[str, JournalValue] = {}
+        # Job -> its facts, while the job is not known: during a load, a journal value may be newer
+        # than the pages with the jobs.
         self._facts_before_job: dict[str, list[facts.Fact]] = {}
-        self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks whose state is no single fact
+        self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks merged from several facts
         self._versions: dict[str, int] = {}  # key -> version
         # Deleted key -> version of its delete, until the replica's revision has reached it.
         self._deleted: dict[str, int] = {}
 
     def track_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
-        """Keeps this feature's records from the next load on. Returns the dict that holds them."""
+        """Keeps this feature's records; those that came before are missing until the next load.
+
+        Returns the dict that holds them.
+        """
         return self._features.setdefault(feature, {})
 
     def version(self, key: str) -> int:
@@ -136,7 +141,7 @@
         self._wake_waiters()
 
     def apply_commit(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
-        """Applies this node's own committed transaction before the watch delivers it."""
+        """Applies this node's own committed transaction before the state service's watch does."""
         touched = []
         with self._lock:
             for key, value in puts.items():
@@ -152,7 +157,7 @@
         if version <= max(self._versions.get(key, 0), self._deleted.get(key, 0)):
             return None
         self._versions[key] = version
-        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")  # see store/records.py
         if kind == "j":
             self._set_job(suffix, r.JOB.decode(value), version)
             return "job", suffix
@@ -205,7 +210,7 @@
             return None
         self._versions.pop(key, None)
         self._deleted[key] = version
-        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")  # see store/records.py
         if kind == "c":
             job, _, index = suffix.partition("/")
             self._drop_chunk(job, int(index, 16))
@@ -234,19 +239,19 @@
         return None
 
     def _update_types(self) -> tuple[str, str]:
-        more = [t for _, catalog in sorted(self.extra_types.items()) for t in catalog.types]
-        self.types = {t.name: t for t in [*self.catalog.types, *more]}
+        extra = [t for _, catalog in sorted(self.extra_types.items()) for t in catalog.types]
+        self.types = {t.name: t for t in [*self.catalog.types, *extra]}
         return "catalog", ""
 
     def _set_job(self, job_id: str, record: r.JobRecord, version: int) -> None:
         job = self.jobs.setdefault(job_id, Job(job_id))
-        if record.spec is None:
+        if record.spec is None:  # retired: only the slim record is left
             for index in list(job.chunks):
                 self._drop_chunk(job_id, index)
-            self.open_jobs.discard(job_id)
+            self.jobs_with_spec.discard(job_id)
             self._merged_tasks.pop(job_id, None)
         else:
-            self.open_jobs.add(job_id)
+            self.jobs_with_spec.add(job_id)
         if record.spec is not None and record.state == "cancelled":
             self.cancelled_jobs.add(job_id)
         else:
@@ -257,7 +262,8 @@
         if record.spec is None:
             job.spec = None
         self._affected_jobs |= self._pipelines.update(job)
-        self._add_usage(job, job.bound)  # chunks may be loaded before their job's spec
+        # With the spec from `update`: chunks may be loaded before the record of their job.
+        self._add_usage(job, job.bound)
         self.job_changes += 1
         facts_before_job = self._facts_before_job.pop(job_id, None)
         if facts_before_job is not None:
@@ -282,7 +288,7 @@
                 self._facts_before_job.setdefault(fact.job, []).append(fact)
                 continue
             if job.record.spec is None:
-                continue  # over, with all its tasks gone
+                continue  # retired
             k, offset = divmod(fact.index, c.CHUNK_TASKS)
             tasks = changed.get((fact.job, k))
             if tasks is None:
@@ -292,7 +298,7 @@
                 tasks[offset] = facts.merge_tasks(known, fact.task)
                 self._track_merged(fact, known, tasks[offset])
         for (job_id, k), tasks in changed.items():
-            self._set_chunk(job_id, k, tasks, 0)
+            self._set_chunk(job_id, k, tasks, 0)  # 0: not a stored chunk
             self._affected_jobs.add(job_id)
 
     def _track_merged(self, fact: facts.Fact, known: r.Task, merged: r.Task) -> None:
@@ -353,7 +359,7 @@
             if not on_machine:
                 del self.tasks_by_machine[task.machine]
 
-    # --- waiting ------------------------------------------------------------------------
+    # --- waiting and notifying ----------------------------------------------------------
     async def wait_for_revision(self, revision: int) -> None:
         """Returns once the replica is at least as new as `revision`."""
         if self.loaded and self.revision >= revision:
@@ -386,6 +392,8 @@
     def usage(self) -> dict[str, tuple[float, float]]:
         """(cpus, gpus) per team of all bound tasks, that is, those not proved gone.
 
+        Proved gone: not running by its machine's report, or the machine is gone or its lease over.
+
         Updated as bindings change, since the cost of recounting grew with the number of tasks.
         """
         return self._usage
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -1,4 +1,7 @@
-"""The user API: accepts, shows and cancels jobs. Answers state only what is durable and current."""
+"""The user API: accepts, shows and cancels jobs.
+
+Answers contain only what is durable and up to date.
+"""
 
 import asyncio
 import logging
@@ -58,6 +61,8 @@
 
 
 class Submissions:
+    """Handles the requests of the user API. `waiting_reason`: by job id, why the job waits."""
+
     def __init__(
         self,
         membership: Membership,
@@ -93,16 +98,17 @@
     async def handle(self, request: Request) -> Response:
         path = request.path.partition("?")[0].strip("/").split("/")
         if len(path) == 1:
-            return await self._require_method("POST", request, self.submit(request.body))
+            return await self._run_handler("POST", request, self.submit(request.body))
         if len(path) == 2:
-            return await self._require_method("GET", request, self.show(path[1]))
+            return await self._run_handler("GET", request, self.show(path[1]))
         if len(path) == 3 and path[2] == "cancel":
-            return await self._require_method("POST", request, self.cancel(path[1]))
+            return await self._run_handler("POST", request, self.cancel(path[1]))
         return json_response(404, {"error": "no such path"})
 
-    async def _require_method(
+    async def _run_handler(
         self, method: str, request: Request, coroutine: Coroutine[None, None, Response]
     ) -> Response:
+        """Answers 405 to another method, and 503 if the state service fails or takes too long."""
         if request.method != method:
             coroutine.close()
             reply = json_response(405, {"error": f"only {method}"})
@@ -117,17 +123,17 @@
                 503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S
             )
         if response.status == 503 and self._membership.shut_out():
-            # The load balancer then sends the client's next try to a node that can answer.
+            # The load balancer then sends the client's retry to a node that can answer.
             response.headers.append(("Connection", "close"))
         if response.status >= 400:
             self._metrics.refused_submissions.labels(str(response.status)).inc()
         return response
 
     def _overload_answer(self) -> Response | None:
-        """The answer to a write that could not be made in time; None if there is time for it."""
+        """The 503 answer if a write would not be made in time; None if it would."""
         client = self._store.client
-        wait_s, per_s = client.urgent_wait_s(), client.writes_per_s
-        retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, per_s)
+        wait_s, writes_per_s = client.urgent_wait_s(), client.writes_per_s
+        retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, writes_per_s)
         if retry_s is None:
             return None
         return json_response(503, {"error": "more comes than can be written"}, retry_s)
@@ -138,8 +144,8 @@
             spec = m.SUBMISSION.decode(body).spec()
         except DECODE_ERRORS as error:
             return await self._reject_malformed(body, str(error))
-        known = self._replica.jobs.get(spec.id)
-        if known is not None and known.record is not None:
+        existing = self._replica.jobs.get(spec.id)
+        if existing is not None and existing.record is not None:
             return await self.show(spec.id)
         if not self.ready:
             return json_response(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
@@ -161,7 +167,7 @@
             if await self._store.commit(conditions, {key: record}):
                 self._metrics.accepted.inc()
                 log.info(
-                    "job %s accepted: %s of %d, class %s, team %s, %s priority%s%s",
+                    "job %s accepted: %s of %d tasks, class %s, team %s, %s priority%s%s",
                     spec.id,
                     spec.kind,
                     spec.tasks,
@@ -172,7 +178,7 @@
                     f", waits on {' '.join(spec.waits_on[:5])}" if spec.waits_on else "",
                     extra={"job": spec.id},
                 )
-                # Its present state: another node may have cancelled it before this answer.
+                # Its present status: another node may have cancelled it before this answer.
                 return self._state_answer(
                     201, self._state(self._replica.jobs[spec.id]), logging.INFO
                 )
@@ -181,9 +187,9 @@
         return json_response(503, {"error": "the view keeps changing"}, c.RETRY_AFTER_S)
 
     async def _dependency_error(self, spec: r.JobSpec) -> Response | None:
-        """The answer to a job that can't be accepted because of the jobs it waits on; else None."""
+        """The error answer if a job can't be accepted because of its dependencies; else None."""
         if not self._membership.all_support(c.FORMAT_WAITS):
-            # A node of an older version would start its tasks at once if it became the leader.
+            # A node with an older release would start the tasks at once as the job's leader.
             return json_response(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
         if any(name not in jobs for name in spec.waits_on):
@@ -198,7 +204,10 @@
         return None
 
     def _size_error(self, record: r.JobRecord) -> str:
-        """Why the record is too large for a value in its largest state; empty if it fits."""
+        """Why the record would not fit into a state service value; empty if it does.
+
+        Checked with the longest status and an end time, as the record is longest then.
+        """
         status = r.stored_status("cancelled", record.is_journaled)
         longest = msgspec.structs.replace(record, status=status, ended=record.at)
         size = len(msgspec.json.encode(longest))
@@ -208,7 +217,7 @@
         return f"its description takes {size} B, of {limit} B at most: fewer or shorter names"
 
     async def _reject(self, job: str, status: int, reason: str) -> Response:
-        """The error answer, except that a repeated submission of an accepted job is always 200."""
+        """The error answer; a repeated submission of an accepted job gets its status instead."""
         await self._store.ensure_fresh()
         if job in self._replica.jobs:
             return await self.show(job)
@@ -225,7 +234,7 @@
         return json_response(400, {"error": reason})
 
     async def _current_job(self, job_id: str) -> Job | None:
-        """The job in its current state; only a state that is not final needs a fresh read."""
+        """The job, up to date: the replica is refreshed unless the job's status is final."""
         if not JOB_ID.match(job_id):
             return None
         if not self._is_final(self._replica.jobs.get(job_id)):
@@ -237,27 +246,29 @@
         job = await self._current_job(job_id)
         if job is None or job.record is None:
             return json_response(404, {"error": "no such job"})
-        if self._unconfirmed(job) and self._partition_policy.may_confirm_cancel(job):
+        if self._cancel_unconfirmed(job) and self._partition_policy.may_confirm_cancel(job):
             await self._confirm_cancellation(job)
             job = self._replica.jobs.get(job_id, job)  # the replica may have been reloaded
-        # A node of an older version would show the job as cancelled at once, so this one must not
-        # say that it runs. Otherwise every node shows the job as running or queued until the
-        # cancellation is confirmed, as that may take longer than a user may go without an answer.
-        if self._unconfirmed(job) and not self._membership.all_support(c.FORMAT_FRESHNESS):
+        # A node with an older release would show the job as cancelled at once, so while there may
+        # be one, this node answers 503 and not that the job runs. Otherwise every node shows the
+        # job as running or queued until the cancellation is confirmed: answering 503 for so long
+        # could exceed the time within which users must get an answer.
+        if self._cancel_unconfirmed(job) and not self._membership.all_support(c.FORMAT_FRESHNESS):
             return json_response(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
         return self._state_answer(200, self._state(job), logging.DEBUG)
 
     def _state_answer(self, status: int, state: m.State, level: int) -> Response:
-        """The answer with a job's state, which is also written to the decision log."""
+        """The answer with a job's status, which is also written to the decision log."""
         reason = f"{status} {state.state}"
         self._decisions.write(Decision(Action.ANSWER, reason, state.id), level)
         return json_response(status, state)
 
-    def _unconfirmed(self, job: Job) -> bool:
-        """Whether the job is cancelled but must not be shown so yet.
+    def _cancel_unconfirmed(self, job: Job) -> bool:
+        """Whether the job is cancelled but must not be shown as cancelled yet.
 
-        A node out of reach may still keep one of its tasks running. It may be shown once all tasks
-        are proved gone in a replica that is at least as new as the cancellation.
+        An unreachable node may still keep one of its tasks running. The job may be shown as
+        cancelled once that is durably confirmed (`untold` is False), or once all its tasks are
+        proved gone in a replica that is at least as new as the cancellation.
         """
         return job.untold and (job.bound > 0 or self._replica.revision < job.version)
 
@@ -268,16 +279,18 @@
             if self._partition_policy.may_confirm_cancel(draft.job):
                 draft.untold = False
 
+        # Shielded: a timeout of the request must not abort the write.
         await asyncio.shield(self._store.change_job(job.id, confirm, priority=WritePriority.URGENT))
 
     def _is_final(self, job: Job | None) -> bool:
-        return job is not None and job.is_over and not self._unconfirmed(job)
+        """Whether the job has ended and its status may be shown."""
+        return job is not None and job.is_over and not self._cancel_unconfirmed(job)
 
     def _state(self, job: Job) -> m.State:
         assert job.record is not None
         if job.record.state == "done":
             return m.State(job.id, "done", job.record.tasks, 0)
-        if job.is_cancelled and not self._unconfirmed(job):
+        if job.is_cancelled and not self._cancel_unconfirmed(job):
             return m.State(job.id, "cancelled", job.done, 0)
         state = "running" if job.bound else "queued"
         return m.State(job.id, state, job.done, job.bound, self._state_note(job))
@@ -308,7 +321,9 @@
                 self._store.change_job(job_id, self._mark_cancelled, priority=WritePriority.URGENT)
             )
             log.info("job %s: cancellation requested by its user", job_id, extra={"job": job_id})
-        if self._unconfirmed(job) and await self._partition_policy.wait_until_confirmable(job):
+        if self._cancel_unconfirmed(job) and await self._partition_policy.wait_until_confirmable(
+            job
+        ):
             await self._confirm_cancellation(job)
         if not self._is_final(job):
             return json_response(503, {"error": "try again"}, c.RETRY_AFTER_S)
@@ -318,7 +333,8 @@
     def _mark_cancelled(self, draft: Draft) -> None:
         if draft.status == "open":
             draft.status = "cancelled"
-            # Nodes that lose the state service before they know this one as a member don't ask for
-            # its heartbeats: it then confirms only once the job's tasks are proved gone.
+            # A node that was cut off from the state service before its view contained this node
+            # renews leases without this node's heartbeat. While there may be one, this node
+            # confirms the cancellation only once the job's tasks are proved gone.
             known = self._membership.known_as_member()
             draft.untold = self._partition_policy.defers_cancellations() or not known
--- a/pulleydeal/zones/monitor.py
+++ b/pulleydeal/zones/monitor.py
@@ -99,7 +99,7 @@
         """
         wall = self._context.clock.wall()
         found = []
-        for name in self._replica.open_jobs:
+        for name in self._replica.jobs_with_spec:
             job = self._replica.jobs[name]
             late = (
                 job.untold
@@ -141,6 +141,6 @@
         """Whether copies of services wait for room, so that no more may be displaced."""
         return any(
             job.is_ready and job.spec.kind == "service" and job.bound < job.spec.tasks
-            for job in map(self._replica.jobs.__getitem__, self._replica.open_jobs)
+            for job in map(self._replica.jobs.__getitem__, self._replica.jobs_with_spec)
             if job.spec is not None
         )
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -155,7 +155,7 @@
     def _local_node(self) -> decide.LocalNode:
         now = self._clock.now()
         heard = self._siblings.silence_s()
-        peer_silence_s = min(
+        informed_peer_silence_s = min(
             (
                 now - self._served_at.get(node, -1e9) if contact.zone == self._zone else heard[node]
                 for node, contact in self._contacts.items()
@@ -168,7 +168,7 @@
             self._replica.loaded and self._membership.is_member,
             self._all_enabled(),
             now - self._store.fresh_as_of,
-            peer_silence_s,
+            informed_peer_silence_s,
         )
 
     def _all_enabled(self) -> bool:
@@ -202,7 +202,7 @@
             )
 
     def may_renew_while_stale(self, zone: str) -> bool:
-        return zone == self._zone and not decide.state_refusal(self._local_node())
+        return zone == self._zone and not decide.stale_renewal_refusal(self._local_node())
 
     # --- lease expiry, cancellations and returns ----------------------------------------------
     def no_peer_renewed(self, tracked: TrackedMachine) -> bool:
--- a/tests/model/cut_zone.py
+++ b/tests/model/cut_zone.py
@@ -365,8 +365,8 @@
     "keeps without being a member": (
         *(
             decide,
-            "state_refusal",
-            _ignoring_reason("state_refusal", "not a member when last current"),
+            "stale_renewal_refusal",
+            _ignoring_reason("stale_renewal_refusal", "not a member when last current"),
         ),
         "ran_twice",
     ),
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -94,7 +94,7 @@
 
 def test_production_reads_what_this_version_writes() -> None:
     stored = Stored()
-    for job in list(stored.replica.open_jobs):
+    for job in list(stored.replica.jobs_with_spec):
         for index, task in stored.replica.jobs[job].bindings()[:3]:
             stored.change(job, lambda d, i=index, t=task: apply_stop(d, i, t.attempt, "notice"))
             stored.change(job, exit_of(job, index, task, "done"))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -109,7 +109,7 @@
 
     def submit(self, waits_on: object, **more: object) -> Response:
         body = json.dumps(BODY | {"waits_on": waits_on} | more).encode()
-        request = self.users._require_method(
+        request = self.users._run_handler(
             "POST", Request("POST", "/submissions", body), self.users.submit(body)
         )
         return asyncio.run(request)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,8 +23,8 @@
         "epoch": 7,
         "is_member": True,
         "all_enabled": True,
-        "stale_s": 10.0,
-        "peer_silence_s": 10.0,
+        "replica_age_s": 10.0,
+        "informed_peer_silence_s": 10.0,
     }
     return decide.LocalNode(**(values | more))  # type: ignore[arg-type]
 
@@ -33,11 +33,12 @@
     ("me", "machine", "why"),
     [
         ({}, {}, ""),
-        ({"stale_s": 3.0}, {}, "in reach"),
-        ({"peer_silence_s": 3.0}, {}, "in reach"),
+        ({"replica_age_s": 3.0}, {}, "in reach"),
+        ({"informed_peer_silence_s": 3.0}, {}, "in reach"),
         ({"is_member": False}, {}, "not a member"),
         ({"all_enabled": False}, {}, "not every node"),
-        ({"stale_s": 86_400.0, "peer_silence_s": 86_400.0}, {}, ""),  # no limit in time
+        # No limit in time.
+        ({"replica_age_s": 86_400.0, "informed_peer_silence_s": 86_400.0}, {}, ""),
         ({}, {"zone": "west"}, "another zone"),
         ({}, {"token_epoch": 8}, "somebody newer"),
         ({}, {"token_epoch": 2}, ""),
