--- a/pulleydeal/fleet/plan.py
+++ b/pulleydeal/fleet/plan.py
@@ -31,7 +31,7 @@
     """A machine as a bin for packing tasks: up, booting, or to be rented."""
 
     kind: MachineKind
-    room: FreeCapacity
+    room: FreeCapacity  # free capacity
     machine: str = ""  # empty: not rented yet
     # Resources of its idle-time tasks (`rules.is_idle_time_work`), which some jobs may preempt.
     # Free in `room`, except while `plan_rentals` packs jobs that may not preempt them.
@@ -344,6 +344,7 @@
 def _find_bin(
     plan: PlanState, spec: r.JobSpec, need: Resources, zones: list[str], allowed: KindFilter
 ) -> Bin | None:
+    # Tasks with equal requirements have the same shape.
     shape = (need, spec.spot, allowed, tuple(spec.types or ()), tuple(sorted(zones)))
     existing = len(plan.bins)
     for at in range(plan.next_bin.get(shape, 0), existing + len(plan.new_bins)):
@@ -383,6 +384,7 @@
                 price = type_.spot_price if spot else type_.price
                 if spot and type_.name not in (plan.spot_types or ()):
                     continue
+                # At equal prices the zone with the fewest machines is preferred.
                 options.append((price, plan.zone_machines[zone], kind))
     if not options:
         return None
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -54,6 +54,7 @@
         return "a task fits no allowed machine type"
     if spec.zone is not None and spec.zone not in zones:
         return f"unknown zone {spec.zone!r}"
+    # Tasks of an array may run one after the other; all others must run at the same time.
     count = 1 if spec.kind == "array" else spec.tasks
     if not rules.within_limit(team, (spec.cpus * count, spec.gpus * count)):
         return "needs more than its team's limit"
@@ -88,6 +89,7 @@
 
     @property
     def ready(self) -> bool:
+        """Whether this node can accept jobs."""
         return (
             self._replica.loaded
             and self._membership.is_member
@@ -228,6 +230,7 @@
             parsed = msgspec.json.decode(body)
         except DECODE_ERRORS:
             return json_response(400, {"error": reason})
+        # "name_id" is the field with the job's id.
         job = parsed.get("name_id") if isinstance(parsed, dict) else None
         if isinstance(job, str) and JOB_ID.match(job):
             return await self._reject(job, 400, reason)
