--- a/pulleydeal/credits/service.py
+++ b/pulleydeal/credits/service.py
@@ -7,15 +7,15 @@
 
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
+from pulleydeal.credits.builder import CreditBuilder
 from pulleydeal.credits.images import ImageLocations
-from pulleydeal.credits.making import CreditMaker
 from pulleydeal.credits.messages import (
     CreditRequest,
     Hold,
-    Need,
+    Resources,
     pack_hold,
-    unpack_ask,
-    unpack_free,
+    unpack_credit_request,
+    unpack_release,
 )
 from pulleydeal.credits.queue import (
     Credit,
@@ -30,17 +30,17 @@
 )
 from pulleydeal.credits.sweep import Sweep
 from pulleydeal.credits.totals import totals
-from pulleydeal.membership.messages import ASK, FREE, HOLD, Total
+from pulleydeal.membership.messages import ASK, FREE, HOLD, CreditTotal
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
-from pulleydeal.store.reasons import made_room
+from pulleydeal.store.reasons import preemption_reason
 from pulleydeal.store.replica import Replica
 from pulleydeal.workers.eviction import Eviction
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Station
+from pulleydeal.workers.tracked_machine import TrackedMachine
 
 log = logging.getLogger("pulleydeal.credits")
 
@@ -48,7 +48,7 @@
 @dataclass(slots=True)
 class ActiveHold:
     machine: str
-    need: Need
+    need: Resources
     until: float
 
 
@@ -84,18 +84,18 @@
         self._reservations: dict[str, tuple[TaskId, float]] = {}
         self._reserved_machine: dict[TaskId, str] = {}
         self._images = ImageLocations(membership, siblings, replica, clock, self._mark_dirty)
-        self._maker = CreditMaker(replica, self._images, objectives, clock, workers.silent)
-        self._published: list[Total] = []
+        self._builder = CreditBuilder(replica, self._images, objectives, clock, workers.silent)
+        self._published: list[CreditTotal] = []
         self._published_at = -1e9
         self._unpublished = False
         self._silence_sweep = Sweep(self._all_machines)
         self._credit_sweep = Sweep(self._all_machines)
         self._wake = asyncio.Event()
-        siblings.on(ASK, self._on_ask)
-        siblings.on(FREE, self._on_free)
-        workers.changed = self._mark_dirty
+        siblings.on(ASK, self._on_credit_request)
+        siblings.on(FREE, self._on_release)
+        workers.on_credit_change = self._mark_dirty
         membership.totals = lambda: self._published
-        replica.listen(self._on_change)
+        replica.add_listener(self._on_change)
 
     def _mark_dirty(self, machine: str) -> None:
         self._dirty.add(machine)
@@ -118,11 +118,11 @@
         self._wake.set()
 
     def _all_machines(self) -> list[str]:
-        return [*self._workers.stations, *self._queue.credits]
+        return [*self._workers.machines, *self._queue.credits]
 
     # --- messages -----------------------------------------------------------------------
-    def _on_ask(self, leader: str, payload: bytes) -> None:
-        request = unpack_ask(payload)
+    def _on_credit_request(self, leader: str, payload: bytes) -> None:
+        request = unpack_credit_request(payload)
         if request.epoch != self._membership.epoch:
             return
         now = self._clock.now()
@@ -143,12 +143,12 @@
         if rescan_at == now:
             self._wake.set()
 
-    def _on_free(self, _leader: str, payload: bytes) -> None:
-        free = unpack_free(payload)
-        if free.epoch == self._membership.epoch:
+    def _on_release(self, _leader: str, payload: bytes) -> None:
+        release = unpack_release(payload)
+        if release.epoch == self._membership.epoch:
             with self._lock:
-                self._waiting.pop((free.job, free.index), None)
-                self._release_hold((free.job, free.index))
+                self._waiting.pop((release.job, release.index), None)
+                self._release_hold((release.job, release.index))
 
     def _release_hold(self, key: TaskId) -> None:
         held = self._holds.pop(key, None)
@@ -169,11 +169,11 @@
         asyncio.get_running_loop().call_soon(self._siblings.send, leader, HOLD, pack_hold(hold))
 
     # --- credits --------------------------------------------------------------------------
-    def _credit(self, station: Station) -> Credit | None:
-        keys = self._holds_by_machine.get(station.id, ())
-        reserved = self._reservations.get(station.id)
+    def _compute_credit(self, tracked: TrackedMachine) -> Credit | None:
+        keys = self._holds_by_machine.get(tracked.id, ())
+        reserved = self._reservations.get(tracked.id)
         held = [(key, self._holds[key].need) for key in keys]
-        return self._maker.credit(station, held, reserved[0] if reserved else None)
+        return self._builder.build(tracked, held, reserved[0] if reserved else None)
 
     def _teams_over_guarantee(self) -> set[str]:
         """Teams that use more than their guarantee."""
@@ -188,7 +188,7 @@
         for key in [key for key, waiting in self._waiting.items() if waiting.expires_at < now]:
             del self._waiting[key]
         for key, held in list(self._holds.items()):
-            if held.until < now or key in self._replica.bound.get(held.machine, {}):
+            if held.until < now or key in self._replica.tasks_by_machine.get(held.machine, {}):
                 self._release_hold(key)
         for machine, (key, until) in list(self._reservations.items()):
             # A task that went elsewhere, or may no longer run here, must not keep the reservation:
@@ -198,20 +198,20 @@
 
     def _reservation_is_useful(self, machine: str, key: TaskId) -> bool:
         waiting = self._waiting.get(key)
-        station = self._workers.stations.get(machine)
-        return waiting is not None and station is not None and station.zone in waiting.request.zones
+        tracked = self._workers.machines.get(machine)
+        return waiting is not None and tracked is not None and tracked.zone in waiting.request.zones
 
-    def _renew(self) -> list[Credit]:
+    def _refresh(self) -> list[Credit]:
         """Recomputes the credits of dirty machines and returns the credits that changed.
 
         Recomputing all credits each time took most of a core with some hundred machines.
         """
         changed = []
-        self._maker.begin_round()
+        self._builder.begin_round()
         dirty, self._dirty = self._dirty, set()
         for machine in dirty:
-            station = self._workers.stations.get(machine)
-            credit = self._credit(station) if station is not None else None
+            tracked = self._workers.machines.get(machine)
+            credit = self._compute_credit(tracked) if tracked is not None else None
             if credit is None:
                 self._unpublished |= machine in self._queue.credits
                 self._queue.remove(machine)
@@ -236,7 +236,7 @@
             self._mark_due_machines(now)
             self._expire(now)
             self._images.send_due_syncs(now)
-            changed = self._renew()
+            changed = self._refresh()
             self._wake.clear()  # machines marked in the meantime have just been recomputed
             to_stop = self._serve_requests(changed, now)
             if self._unpublished and now - self._published_at >= c.PUBLISH_S:
@@ -253,10 +253,10 @@
         stopping tasks changes with time: recomputing credits takes 281 ms for 1,600 machines, so
         its period grows with their number.
         """
-        machines = len(self._workers.stations)
+        machines = len(self._workers.machines)
         for machine in self._silence_sweep.due(now, c.CREDIT_SWEEP_S):
-            station = self._workers.stations.get(machine)
-            offers_credit = station is not None and self._maker.offers_credit(station)
+            tracked = self._workers.machines.get(machine)
+            offers_credit = tracked is not None and self._builder.offers_credit(tracked)
             if offers_credit != (machine in self._queue.credits):
                 self._dirty.add(machine)
         period_s = max(c.CREDIT_SWEEP_S, machines / c.CREDITS_SWEPT_A_SECOND)
@@ -285,7 +285,7 @@
             has_reservation = key in self._reserved_machine
             attempt_kind = (is_full_scan, may_preempt, *signature(waiting.request))
             if is_full_scan:
-                delay_s = c.LOOK_AGAIN_S if may_preempt else c.PREEMPT_AFTER_S
+                delay_s = c.FULL_RESCAN_S if may_preempt else c.PREEMPT_AFTER_S
                 waiting.rescan_at = now + delay_s
             if not has_reservation and attempt_kind in failed:
                 continue
@@ -357,13 +357,13 @@
         spec = job.record.spec if job is not None and job.record is not None else None
         if job is None or spec is None or spec.priority >= request.priority:
             return request
-        is_near = job.due - job.estimate_s - self._clock.wall() < c.CHAIN_STOP_S
+        is_near = job.due - job.estimate_s - self._clock.wall() < c.PIPELINE_PREEMPT_S
         return request if is_near else replace(request, priority=spec.priority)
 
     def _hold(self, waiting: WaitingRequest, credit: Credit, now: float) -> None:
         request = waiting.request
         key = (request.job, request.index)
-        credit.room.take(request.need)
+        credit.room.subtract(request.need)
         self._unpublished = True
         until = now + (c.GANG_HOLD_S if request.gang else c.HOLD_S)
         held = self._holds[key] = ActiveHold(credit.machine, request.need, until)
@@ -384,7 +384,7 @@
         self._reserved_machine[key] = credit.machine
         credit.reserved = key
         self._unpublished = True
-        why = made_room(request.priority)
+        why = preemption_reason(request.priority)
         log.info("machine %s: preempting %d tasks for %s/%d", credit.machine, len(victims), *key)
         return [(victim, why) for victim in victims]
 
@@ -394,6 +394,6 @@
         reserved_needs = {key: found.request.need for key, found in waiting if found is not None}
         old, self._published = self._published, totals(self._queue.credits.values(), reserved_needs)
         if old != self._published:
-            self._membership.send_beat()  # the heartbeat carries the changed totals
+            self._membership.send_heartbeat()  # the heartbeat carries the changed totals
         self._metrics.credits.set(len(self._queue.credits))
         self._metrics.asks.set(len(self._waiting))
--- a/pulleydeal/placement/service.py
+++ b/pulleydeal/placement/service.py
@@ -8,24 +8,24 @@
 from pulleydeal import constants as c
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.asks import ask_for
-from pulleydeal.credits.messages import Free, pack_ask, pack_free, unpack_hold
+from pulleydeal.credits.messages import Release, pack_credit_request, pack_release, unpack_hold
+from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.decisions import Action, Decision, DecisionLog
 from pulleydeal.membership.messages import ASK, FREE, HOLD
 from pulleydeal.membership.service import Membership
 from pulleydeal.membership.siblings import Siblings
 from pulleydeal.metrics import Metrics
 from pulleydeal.placement.bindings import BindingRules
-from pulleydeal.placement.cleaning import JobCleanup
+from pulleydeal.placement.cleanup import JobCleanup
 from pulleydeal.placement.failures import FailureBackoff
-from pulleydeal.placement.parts import OwnerSelector, choose_gang_zone
+from pulleydeal.placement.owner_selection import OwnerSelector, choose_gang_zone
 from pulleydeal.placement.pending import PendingRequest, PendingRequests, TaskId
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Objective, Team
 from pulleydeal.store import records as r
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
-from pulleydeal.store.rate import Turn
+from pulleydeal.store.rate import WritePriority
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Store
 
@@ -68,8 +68,8 @@
         self._cleanup = JobCleanup(membership, store)
         self._binding_rules = BindingRules(membership, store.replica, self._requests, teams, zones)
         self._guaranteed: set[str] = set()  # jobs within their team's guarantee
-        self._guaranteed_at = -1  # the replica's `open_changes` for which `_guaranteed` holds
-        # Open jobs, and those led by this node, cached per view and `open_changes`: checking each
+        self._guaranteed_at = -1  # the replica's `job_changes` for which `_guaranteed` holds
+        # Open jobs, and those led by this node, cached per view and `job_changes`: checking each
         # job in each round took a sixth of a node's time (docs/results.md).
         self._open_jobs: list[Job] = []
         self._led_jobs: list[Job] = []
@@ -78,7 +78,7 @@
         self._pruned_at = -1e9
         self._wake = asyncio.Event()
         siblings.on(HOLD, self._on_hold)
-        store.replica.listen(self._on_change)
+        store.replica.add_listener(self._on_change)
 
     def _on_change(self, kind: str, name: str) -> None:
         if kind == "view":
@@ -111,16 +111,15 @@
         self._cleanup.unbind_lost_tasks()
         for job in led:
             if job.is_open and job.spec is not None and job.done >= job.spec.tasks:
-                # Two owners may write the last ends of a chunk at the same moment, so that neither
-                # sees that all tasks are done. Without this the job, and jobs that wait for it,
-                # stayed open.
-                self._cleanup.finalize(job, Turn.WORK)
+                # Two owners may write the last ends of a chunk at the same moment: neither sees
+                # that all tasks are done, and the job, with those that wait for it, stayed open.
+                self._cleanup.finalize(job, WritePriority.NORMAL)
             elif not job.is_open and not job.bound:
-                self._cleanup.finalize(job, Turn.LATER)
+                self._cleanup.finalize(job, WritePriority.BACKGROUND)
         self._prune(now)
         self._reasons = {}
-        if self._guaranteed_at != self._replica.open_changes:
-            self._guaranteed_at = self._replica.open_changes
+        if self._guaranteed_at != self._replica.job_changes:
+            self._guaranteed_at = self._replica.job_changes
             self._guaranteed = rules.guaranteed_jobs([j for j in jobs if j.is_ready], self._teams)
         guaranteed = self._guaranteed
         usage = self._projected_usage()
@@ -132,7 +131,7 @@
         def sort_key(job: Job) -> tuple[object, ...]:
             assert job.spec is not None
             rank = rules.QueueRank(
-                *rules.turn(job, self._objectives, wall, self._policy), rules.starts_by(job)
+                *rules.job_rank(job, self._objectives, wall, self._policy), rules.latest_start(job)
             )
             self._ranks[job.id] = rank
             return (-job.spec.priority, job.id not in guaranteed, *rank, job.id)
@@ -151,7 +150,7 @@
     def _update_led_jobs(self) -> tuple[list[Job], list[Job]]:
         """Returns all open jobs, and those that are led by this node."""
         membership = self._membership
-        cache_key = (self._replica.open_changes, membership.epoch, membership.is_member)
+        cache_key = (self._replica.job_changes, membership.epoch, membership.is_member)
         if cache_key != self._led_jobs_key:
             if self._led_jobs_key is None or self._led_jobs_key[1:] != cache_key[1:]:
                 self._leads_cache.clear()  # the view determines the leaders of jobs
@@ -174,7 +173,7 @@
             job = self._replica.jobs.get(job_id)
             if job is None or job.spec is None:
                 continue
-            count = sum(index not in job.on_machines for index in self._requests.for_job(job_id))
+            count = sum(index not in job.bound_tasks for index in self._requests.for_job(job_id))
             amount = (job.spec.cpus * count, job.spec.gpus * count)
             usage[job.spec.team] = rules.add(usage.get(job.spec.team, (0.0, 0.0)), amount)
         return usage
@@ -187,7 +186,7 @@
                     if pending.writing:
                         continue
                     key = (job_id, index)
-                    if job is None or not job.is_open or index in job.on_machines:
+                    if job is None or not job.is_open or index in job.bound_tasks:
                         self._withdraw(key, notify_owner=not self._binding_rules.is_bound(key))
                     elif pending.machine and now > pending.hold_until:
                         self._withdraw(key, notify_owner=True)
@@ -203,8 +202,8 @@
     def _withdraw(self, key: TaskId, notify_owner: bool) -> None:
         pending = self._requests.pop(key)
         if pending is not None and notify_owner:
-            free = Free(self._membership.epoch, *key)
-            self._siblings.send(pending.owner, FREE, pack_free(free))
+            release = Release(self._membership.epoch, *key)
+            self._siblings.send(pending.owner, FREE, pack_release(release))
 
     # --- one job ----------------------------------------------------------------------------
     def _place_job(
@@ -255,15 +254,14 @@
             self._try_gang(job, now)
 
     def _max_requests(self, job: Job, spec: r.JobSpec, now: float) -> int:
-        """Maximum number of a job's tasks that request credit at the same time.
+        """Maximum number of a job's requests; an array that got no credit lately keeps only a few.
 
-        An array that got no credit for a while keeps only a few. Otherwise six large arrays had
-        384 requests, repeated every second and reviewed four times a second, all day long.
+        Otherwise six large arrays had 384 requests, renewed every second and reviewed every 0.25 s.
         """
         granted_at = self._granted_at.setdefault(job.id, now)
-        if spec.kind != "array" or now - granted_at < c.VAIN_AFTER_S:
+        if spec.kind != "array" or now - granted_at < c.UNSERVED_AFTER_S:
             return c.MAX_ASKS_PER_JOB
-        return c.VAIN_ASKS
+        return c.UNSERVED_MAX_ASKS
 
     def _request_credit(
         self,
@@ -294,8 +292,10 @@
             pending.sent_at = now
             avoid = self._failures.avoided_machines(job.id, now)
             rank = rules.task_rank(spec, self._ranks[job.id], ahead)
-            request = ask_for(spec, key[1], self._membership.epoch, guaranteed, rank, zones, avoid)
-            self._siblings.send(owner, ASK, pack_ask(request))
+            request = make_credit_request(
+                spec, key[1], self._membership.epoch, guaranteed, rank, zones, avoid
+            )
+            self._siblings.send(owner, ASK, pack_credit_request(request))
 
     def _allowed_zones(self, job: Job, key: TaskId, owners: OwnerSelector, now: float) -> list[str]:
         spec = job.spec
@@ -313,9 +313,9 @@
         machines += [
             p.machine
             for index, p in self._requests.for_job(job.id).items()
-            if (job.id, index) != key and p.machine and index not in job.on_machines
+            if (job.id, index) != key and p.machine and index not in job.bound_tasks
         ]
-        return rules.zones_used(machines, self._replica.zone_of)
+        return rules.count_by_zone(machines, self._replica.zone_of)
 
     def _choose_gang_zone(
         self, job: str, spec: r.JobSpec, allowed: list[str], owners: OwnerSelector, now: float
@@ -345,8 +345,8 @@
                 self._granted_at[hold.job] = now
                 pending.hold_until = now + hold.seconds
         if unwanted:
-            free = Free(self._membership.epoch, *key)
-            self._siblings.send(owner, FREE, pack_free(free))
+            release = Release(self._membership.epoch, *key)
+            self._siblings.send(owner, FREE, pack_release(release))
         elif job.spec.kind == "gang":
             self._try_gang(job, now)
         else:
@@ -371,7 +371,7 @@
             if self._clock.now() < until:
                 self._binding_rules.apply(draft, machines)
 
-        future = self._store.change_job(job.id, mutate, turn=Turn.WORK)
+        future = self._store.change_job(job.id, mutate, priority=WritePriority.NORMAL)
         future.add_done_callback(lambda _: self._on_bound(job.id, keys, machines))
 
     def _on_bound(self, job_id: str, keys: list[TaskId], machines: dict[int, str]) -> None:
@@ -382,7 +382,7 @@
             with self._lock:
                 self._withdraw(key, notify_owner=not is_shown)
             if is_shown and job is not None and job.record is not None:
-                waited_s = max(0.0, self._clock.wall() - job.since)
+                waited_s = max(0.0, self._clock.wall() - job.waiting_since)
                 self._failures.record_machine(key, task.machine)
                 if task.attempt == 1:
                     self._metrics.start_wait.observe(waited_s)
--- a/pulleydeal/recurring/service.py
+++ b/pulleydeal/recurring/service.py
@@ -15,10 +15,10 @@
 from pulleydeal.recurring.decide import Due, Line, Outcome, SteadyWall
 from pulleydeal.recurring.tables import Loaded
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import TooLarge
-from pulleydeal.store.rate import Turn
-from pulleydeal.submissions.service import refusal
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.submissions.service import rejection_reason
 
 log = logging.getLogger("pulleydeal.recurring")
 FIELD = {"feature": "recurring"}
@@ -106,7 +106,7 @@
         """Now and then, what a version that is over has left behind."""
         now = self.clock.now()
         if now >= self._sweep_at.get(name, now + kc.SWEEP_S):
-            with contextlib.suppress(Unavailable, Unknown, TimeoutError):
+            with contextlib.suppress(Unavailable, OutcomeUnknown, TimeoutError):
                 if await self.interface.imports.sweep(name, table):
                     self._sweep_at[name] = now
                     return
@@ -138,7 +138,7 @@
                 batch = self._batch(loaded, due)
                 try:
                     done = await self._write(loaded, batch, now)
-                except (Unavailable, Unknown, TimeoutError, TooLarge) as error:
+                except (Unavailable, OutcomeUnknown, TimeoutError, TooLarge) as error:
                     log.debug("table %s: %s", loaded.name, error)
                     done = False
                 # What was written moves on; what was not is looked at again by its mark, as a
@@ -205,7 +205,7 @@
             why = "; ".join(told)[:600]
             entry = st.Entry(self.clock.wall(), f"{len(told)} instants without a job", why)
             puts |= self.interface.told(name, table, entry)
-        if not await self.records.commit(read, puts, [], also, also_read, Turn.LATER):
+        if not await self.records.commit(read, puts, [], also, also_read, WritePriority.BACKGROUND):
             return False
         for line, found in begun:
             late = max(0.0, self.clock.wall() - found.instant)
@@ -228,7 +228,7 @@
             job = self.replica.jobs.get(st.job_id(name, one.line.id, mark.job_at))
             previous_open = job is not None and not job.is_over
         spec = one.line.job.spec("j-0")
-        why = refusal(spec, self.node.teams, self.replica.types, self.node.zones)
+        why = rejection_reason(spec, self.node.teams, self.replica.types, self.node.zones)
         return decide.outcome(one.line, mark, one.instant, now, previous_open, why)
 
     def _begin(
@@ -250,5 +250,7 @@
         old = self.replica.jobs.get(st.job_id(name, line.id, mark.job_at))
         if old is not None and old.record is not None and old.record.state == "open":
             key = r.job_key(old.id)
-            also[key] = r.cancelled(old.record, old.spec, wall, self.node.keeping.holds_back())
+            also[key] = r.cancelled_record(
+                old.record, old.spec, wall, self.node.partition_policy.defers_cancellations()
+            )
             also_read[key] = old.version
--- a/pulleydeal/submissions/service.py
+++ b/pulleydeal/submissions/service.py
@@ -10,42 +10,42 @@
 from pulleydeal import constants as c
 from pulleydeal import rules
 from pulleydeal.clock import Clock
-from pulleydeal.credits.messages import Need
-from pulleydeal.credits.queue import Room
+from pulleydeal.credits.messages import Resources
+from pulleydeal.credits.queue import FreeCapacity
 from pulleydeal.decisions import Action, Decision, DecisionLog
 from pulleydeal.http import MALFORMED, Request, Response, answer
 from pulleydeal.membership.service import Membership
 from pulleydeal.metrics import Metrics
 from pulleydeal.settings import Team
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.draft import Draft
 from pulleydeal.store.job import Job
-from pulleydeal.store.rate import Turn
-from pulleydeal.store.reasons import shown
+from pulleydeal.store.rate import WritePriority
+from pulleydeal.store.reasons import reason_text
 from pulleydeal.store.service import Store
 from pulleydeal.submissions import messages as m
 from pulleydeal.submissions.admission import Admission
-from pulleydeal.workers.keeping import Keeping
+from pulleydeal.workers.partition_policy import PartitionPolicy
 
 log = logging.getLogger("pulleydeal.submissions")
 JOB_ID = re.compile(m.JOB_ID)
 
 
-def refusal(
+def rejection_reason(
     spec: r.JobSpec, teams: dict[str, Team], types: dict[str, r.MachineType], zones: list[str]
 ) -> str:
     """Why the job can never run; empty if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team!r}"
-    need = Need(spec.cpus, spec.gpus, spec.memory)
+    need = Resources(spec.cpus, spec.gpus, spec.memory)
     usable = [
         t
         for t in types.values()
         if (spec.types is None or t.name in spec.types)
         and (spec.zone is None or spec.zone in t.zones)
-        and Room(t.cpus, t.gpus, t.memory).fits(need)
+        and FreeCapacity(t.cpus, t.gpus, t.memory).fits(need)
     ]
     if not usable:
         return "a task fits no allowed machine type"
@@ -67,7 +67,7 @@
         clock: Clock,
         metrics: Metrics,
         waiting_reason: Callable[[str], str],
-        keeping: Keeping,
+        partition_policy: PartitionPolicy,
     ) -> None:
         self._membership = membership
         self._store = store
@@ -79,7 +79,7 @@
         self._decisions = DecisionLog(membership, store, clock, metrics)
         self._waiting_reason = waiting_reason
         self._admission = Admission()
-        self._keeping = keeping
+        self._partition_policy = partition_policy
 
     @property
     def ready(self) -> bool:
@@ -111,7 +111,7 @@
         try:
             async with asyncio.timeout(c.COMMIT_WAIT_S):
                 response = await coroutine
-        except (Unavailable, Unknown, TimeoutError) as error:
+        except (Unavailable, OutcomeUnknown, TimeoutError) as error:
             log.debug("%s %s: %s", request.method, request.path, error)
             response = answer(503, {"error": "the state service can't be asked"}, c.RETRY_AFTER_S)
         if response.status == 503 and self._membership.shut_out():
@@ -124,7 +124,7 @@
     def _overload_answer(self) -> Response | None:
         """The answer to a write that could not be made in time; None if there is time for it."""
         client = self._store.client
-        wait_s, per_s = client.first_wait_s(), client.writes_per_s
+        wait_s, per_s = client.urgent_wait_s(), client.writes_per_s
         retry_s = self._admission.retry_after_s(self._clock.now(), wait_s, per_s)
         if retry_s is None:
             return None
@@ -141,21 +141,21 @@
             return await self.show(spec.id)
         if not self.ready:
             return answer(503, {"error": "not ready yet"}, c.RETRY_AFTER_S)
-        reason = refusal(spec, self._teams, self._replica.types, self._zones)
+        reason = rejection_reason(spec, self._teams, self._replica.types, self._zones)
         if reason:
             return await self._reject(spec.id, 422, reason)
         if spec.waits_on and (reply := await self._dependency_error(spec)) is not None:
             return reply
         if (reply := self._overload_answer()) is not None:
             return reply
-        status = r.written("open", self._store.journals(spec))
+        status = r.stored_status("open", self._store.should_journal(spec))
         record = r.JobRecord(status, spec.tasks, self._clock.wall(), spec)
         reason = self._size_error(record)
         if reason:
             return await self._reject(spec.id, 422, reason)
         key = r.job_key(spec.id)
-        for _ in range(c.SCRATCH_TRIES):
-            conditions = {key: 0, r.VIEW: self._replica.view_version}
+        for _ in range(c.MAX_COMMIT_TRIES):
+            conditions = {key: 0, r.VIEW_KEY: self._replica.view_version}
             if await self._store.commit(conditions, {key: record}):
                 self._metrics.accepted.inc()
                 log.info(
@@ -180,12 +180,12 @@
 
     async def _dependency_error(self, spec: r.JobSpec) -> Response | None:
         """The answer to a job that can't be accepted because of the jobs it waits on; else None."""
-        if not self._membership.all_keep(c.FORMAT_WAITS):
+        if not self._membership.all_support(c.FORMAT_WAITS):
             # A node of an older version would start its tasks at once if it became the leader.
             return answer(503, {"error": "an older version still serves"}, c.RETRY_AFTER_S)
         jobs = self._replica.jobs
         if any(name not in jobs for name in spec.waits_on):
-            await self._store.fresh()  # another node may have accepted one a moment ago
+            await self._store.ensure_fresh()  # another node may have accepted one a moment ago
         for name in spec.waits_on:
             job = jobs.get(name)
             if job is None or job.record is None:
@@ -197,7 +197,7 @@
 
     def _size_error(self, record: r.JobRecord) -> str:
         """Why the record is too large for a value in its largest state; empty if it fits."""
-        status = r.written("cancelled", record.is_journaled)
+        status = r.stored_status("cancelled", record.is_journaled)
         longest = msgspec.structs.replace(record, status=status, ended=record.at)
         size = len(msgspec.json.encode(longest))
         limit = self._store.limits.value_b
@@ -207,7 +207,7 @@
 
     async def _reject(self, job: str, status: int, reason: str) -> Response:
         """The error answer, except that a repeated submission of an accepted job is always 200."""
-        await self._store.fresh()
+        await self._store.ensure_fresh()
         if job in self._replica.jobs:
             return await self.show(job)
         return answer(status, {"error": reason})
@@ -227,7 +227,7 @@
         if not JOB_ID.match(job_id):
             return None
         if not self._is_final(self._replica.jobs.get(job_id)):
-            await self._store.fresh()
+            await self._store.ensure_fresh()
         return self._replica.jobs.get(job_id)
 
     # --- show -------------------------------------------------------------------------------
@@ -235,13 +235,13 @@
         job = await self._current_job(job_id)
         if job is None or job.record is None:
             return answer(404, {"error": "no such job"})
-        if self._unconfirmed(job) and self._keeping.may_tell(job):
+        if self._unconfirmed(job) and self._partition_policy.may_confirm_cancel(job):
             await self._confirm_cancellation(job)
             job = self._replica.jobs.get(job_id, job)  # the replica may have been reloaded
         # A node of an older version would show the job as cancelled at once, so this one must not
         # say that it runs. Otherwise every node shows the job as running or queued until the
         # cancellation is confirmed, as that may take longer than a user may go without an answer.
-        if self._unconfirmed(job) and not self._membership.all_keep(c.FORMAT_VOUCHES):
+        if self._unconfirmed(job) and not self._membership.all_support(c.FORMAT_FRESHNESS):
             return answer(503, {"error": "its cancellation is under way"}, c.RETRY_AFTER_S)
         return self._state_answer(200, self._state(job), logging.DEBUG)
 
@@ -263,10 +263,10 @@
         """Durably records that the cancellation may be shown; from then on every node shows it."""
 
         def confirm(draft: Draft) -> None:
-            if self._keeping.may_tell(draft.job):
+            if self._partition_policy.may_confirm_cancel(draft.job):
                 draft.untold = False
 
-        await asyncio.shield(self._store.change_job(job.id, confirm, turn=Turn.FIRST))
+        await asyncio.shield(self._store.change_job(job.id, confirm, priority=WritePriority.URGENT))
 
     def _is_final(self, job: Job | None) -> bool:
         return job is not None and job.is_over and not self._unconfirmed(job)
@@ -291,7 +291,7 @@
             waiting = f"waits for {', '.join(named)}" + (f" and {more} more" if more else "")
         elif job.done + job.bound < job.record.tasks:
             waiting = f"waits for {self._waiting_reason(job.id) or 'credit'}"
-        stopped = job.last_stop and f"last stop: {shown(job.last_stop)}"
+        stopped = job.last_stop_reason and f"last stop: {reason_text(job.last_stop_reason)}"
         return "; ".join(part for part in (waiting, stopped) if part)
 
     # --- cancel -----------------------------------------------------------------------------
@@ -303,10 +303,10 @@
             if (reply := self._overload_answer()) is not None:
                 return reply
             await asyncio.shield(
-                self._store.change_job(job_id, self._mark_cancelled, turn=Turn.FIRST)
+                self._store.change_job(job_id, self._mark_cancelled, priority=WritePriority.URGENT)
             )
             log.info("job %s: cancellation requested by its user", job_id, extra={"job": job_id})
-        if self._unconfirmed(job) and await self._keeping.comes_to_be_told(job):
+        if self._unconfirmed(job) and await self._partition_policy.wait_until_confirmable(job):
             await self._confirm_cancellation(job)
         if not self._is_final(job):
             return answer(503, {"error": "try again"}, c.RETRY_AFTER_S)
@@ -319,4 +319,4 @@
             # Nodes that lose the state service before they know this one as a member don't ask for
             # its heartbeats: it then confirms only once the job's tasks are proved gone.
             known = self._membership.known_as_member()
-            draft.untold = self._keeping.holds_back() or not known
+            draft.untold = self._partition_policy.defers_cancellations() or not known
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -9,17 +9,17 @@
 from pulleydeal import constants as c
 from pulleydeal.cli import main
 from pulleydeal.clock import SystemClock
-from pulleydeal.fleet.cloud import CloudTrouble
-from pulleydeal.fleet.cloud import _understood as understood_cloud
-from pulleydeal.fleet.messages import CATALOG, LISTING
+from pulleydeal.fleet.cloud import CloudError
+from pulleydeal.fleet.cloud import _decode as understood_cloud
+from pulleydeal.fleet.messages import CATALOG_DECODER, LISTING_DECODER
 from pulleydeal.http import MALFORMED, Client, Request, Response, Server, answer
 from pulleydeal.settings import SettingsError, Team, load
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unknown
-from pulleydeal.store.client import _understood as understood_state
+from pulleydeal.store.client import OutcomeUnknown
+from pulleydeal.store.client import _decode_reply as understood_state
 from pulleydeal.store.messages import CHANGES, PAGE, REVISION
 from pulleydeal.submissions import messages as m
-from pulleydeal.submissions.service import refusal
+from pulleydeal.submissions.service import rejection_reason
 from pulleydeal.workers.messages import REPORT
 
 VALID = {
@@ -97,7 +97,9 @@
     ],
 )
 def test_a_job_that_can_never_run_is_refused(changes: dict[str, object], why: str) -> None:
-    found = refusal(parse(**changes), {"core": Team("core", gpus_max=4.0)}, TYPES, ["east"])
+    found = rejection_reason(
+        parse(**changes), {"core": Team("core", gpus_max=4.0)}, TYPES, ["east"]
+    )
     assert why in found and bool(found) == bool(why)
 
 
@@ -133,13 +135,21 @@
 )
 def test_a_deeply_nested_body_counts_as_malformed(nested: bytes) -> None:
     """It once ended in a traceback and 503, which users retry for a minute."""
-    for decoder in (m.SUBMISSION, REPORT, CATALOG, LISTING, PAGE, CHANGES, REVISION):
+    for decoder in (
+        m.SUBMISSION,
+        REPORT,
+        CATALOG_DECODER,
+        LISTING_DECODER,
+        PAGE,
+        CHANGES,
+        REVISION,
+    ):
         with pytest.raises(MALFORMED):
             decoder.decode(nested)
-    with pytest.raises(Unknown):
+    with pytest.raises(OutcomeUnknown):
         understood_state(PAGE, nested)
-    with pytest.raises(CloudTrouble):
-        understood_cloud(LISTING, nested)
+    with pytest.raises(CloudError):
+        understood_cloud(LISTING_DECODER, nested)
 
 
 def test_a_failing_handler_is_answered_503_with_retry_after() -> None:
@@ -208,9 +218,11 @@
 def test_user_requests_over_the_limits_are_refused_and_workers_keep_their_share() -> None:
     limit = 20
     refused, others = crowd(limit, limit - 2)
-    assert [status for status, _ in refused] == [503] * (limit - 2 - int(limit * c.CROWD_SHARE))
+    assert [status for status, _ in refused] == [503] * (
+        limit - 2 - int(limit * c.USER_CONNECTION_SHARE)
+    )
     assert others == [200, 200]
-    refused, others = crowd(10 * c.CROWD_AT_ONCE, c.CROWD_AT_ONCE + 5)
+    refused, others = crowd(10 * c.USER_REQUESTS_AT_ONCE, c.USER_REQUESTS_AT_ONCE + 5)
     assert [status for status, _ in refused] == [503] * 5
     assert others == [200, 200]
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -29,7 +29,7 @@
         self.replica = Replica()
         self.replica.loaded = True
         self.notified: list[str] = []
-        self.replica.listen(
+        self.replica.add_listener(
             lambda kind, name: self.notified.append(name) if kind == "job" else None
         )
 
@@ -74,9 +74,9 @@
     assert cluster.job("j-3").blockers == {"j-2"} and "j-3" in cluster.notified
     cluster.end("j-1", "done", 30.0)
     cluster.end("j-2", "done", 20.0)
-    assert cluster.job("j-3").is_ready and cluster.job("j-3").since == 30.0
+    assert cluster.job("j-3").is_ready and cluster.job("j-3").waiting_since == 30.0
     cluster.submit("j-4", "j-1", at=99.0)
-    assert cluster.job("j-4").is_ready and cluster.job("j-4").since == 99.0
+    assert cluster.job("j-4").is_ready and cluster.job("j-4").waiting_since == 99.0
 
 
 def test_dependency_without_end_time_leaves_waiting_time_at_submission() -> None:
@@ -84,7 +84,7 @@
     cluster.submit("j-1")
     cluster.put("j-1", r.JobRecord("done", 2))
     cluster.submit("j-2", "j-1", at=7.0)
-    assert cluster.job("j-2").is_ready and cluster.job("j-2").since == 7.0
+    assert cluster.job("j-2").is_ready and cluster.job("j-2").waiting_since == 7.0
 
 
 def test_cancellation_reaches_all_transitive_dependents_at_once_and_stays() -> None:
@@ -140,14 +140,16 @@
     objectives = [Objective("wait", "c", 20.0)]
     wanted = sorted(
         cluster.replica.jobs.values(),
-        key=lambda job: (*rules.turn(job, objectives, 5.0), rules.starts_by(job)),
+        key=lambda job: (*rules.job_rank(job, objectives, 5.0), rules.latest_start(job)),
     )
     assert [job.id for job in wanted] == ["j-3", "j-4", "j-1", "j-2", "j-5"]
     # Late, but with so little work that it may still go first.
-    assert rules.turn(cluster.job("j-3"), objectives, 71.0)[0] == 0
+    assert rules.job_rank(cluster.job("j-3"), objectives, 71.0)[0] == 0
     cluster.submit("j-6", estimate_s=500.0)
     cluster.submit("j-7", "j-6", priority=2, deadline_s=400.0, at=10.0)
-    assert rules.turn(cluster.job("j-6"), [], 11.0)[0] == 1  # its dependent can't meet the deadline
+    assert (
+        rules.job_rank(cluster.job("j-6"), [], 11.0)[0] == 1
+    )  # its dependent can't meet the deadline
 
 
 def test_job_close_to_an_objective_it_can_still_meet_is_not_preempted() -> None:
@@ -157,7 +159,7 @@
     at_risk = [
         wall
         for wall in range(0, 400, 10)
-        if rules.can_lose(cluster.job("j-1"), objectives, float(wall))
+        if rules.stop_would_miss_objective(cluster.job("j-1"), objectives, float(wall))
     ]
     assert at_risk == [*range(20, 80, 10), *range(130, 190, 10), *range(230, 290, 10)]
 
@@ -182,8 +184,8 @@
             other = reloaded.jobs[name]
             assert (job.is_cancelled, job.is_ready) == (other.is_cancelled, other.is_ready)
             if job.is_open:
-                assert (job.since, job.due, job.priority) == (
-                    other.since,
+                assert (job.waiting_since, job.due, job.priority) == (
+                    other.waiting_since,
                     other.due,
                     other.priority,
                 )
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -1,4 +1,4 @@
-"""Machines of which nothing changed are not planned for anew: what must not be passed over."""
+"""Planning is skipped for machines whose last plan was empty, but never when it matters."""
 
 import asyncio
 import copy
@@ -13,23 +13,30 @@
 from experiments import restarts
 from pulleydeal.store import records as r
 from pulleydeal.workers import messages as m
+from pulleydeal.workers.desired import desired_tasks
 from pulleydeal.workers.service import Workers
-from pulleydeal.workers.station import Sent, Station, Wanted, absorb, is_settled, reconcile
-from pulleydeal.workers.wanted import wanted
+from pulleydeal.workers.tracked_machine import (
+    DesiredTask,
+    SentStart,
+    TrackedMachine,
+    apply_report,
+    is_reconciled,
+    reconcile,
+)
 from standins.scenario import play
 from tests.test_station import LEASE_S, SPEC
-from tests.test_workers import Alone, report, workers
+from tests.test_workers import FakeNode, checkin_request, make_workers
 
 TASK = ("j-1", 0)
 RUNNING = ("j-1/0#1", "running")
 
 
-def known(*tasks: tuple[str, str]) -> Station:
-    """A machine that has reported these tasks to an owner that it has answered."""
-    station = Station("vm-1", "t4", "east", False, 0.0, 0, set())
-    absorb(station, report_of(1, *tasks), 1.0, checkin=True)
-    station.answered_at = 1.0
-    return station
+def machine_with_report(*tasks: tuple[str, str]) -> TrackedMachine:
+    """A machine that reported these tasks in a check-in, which its owner answered."""
+    tracked = TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
+    apply_report(tracked, report_of(1, *tasks), 1.0, checkin=True)
+    tracked.last_answer_at = 1.0
+    return tracked
 
 
 def report_of(seq: int, *tasks: tuple[str, str]) -> Any:
@@ -40,98 +47,102 @@
     return m.Report("vm-1", "1.2.3.4:5", "t4", "east", False, 1, seq, 0, None, found)
 
 
-def bound(over: str = "") -> dict[tuple[str, int], Wanted]:
-    return {TASK: Wanted(r.Task("vm-1", 1), SPEC, over)}
+def bound(end_reason: str = "") -> dict[tuple[str, int], DesiredTask]:
+    return {TASK: DesiredTask(r.Task("vm-1", 1), SPEC, end_reason)}
 
 
-def test_a_plan_that_found_nothing_settles_and_other_tasks_unsettle() -> None:
-    station = known(RUNNING)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and is_settled(station, 2.5, LEASE_S)
-    absorb(station, report_of(2, RUNNING), 3.0, checkin=True)
-    assert is_settled(station, 3.0, LEASE_S)
-    absorb(station, report_of(3, ("j-1/0#1", "exited")), 4.0, checkin=True)
-    assert not is_settled(station, 4.0, LEASE_S)
+def test_empty_plan_is_skipped_until_the_reported_tasks_change() -> None:
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and is_reconciled(
+        tracked, 2.5, LEASE_S
+    )
+    apply_report(tracked, report_of(2, RUNNING), 3.0, checkin=True)
+    assert is_reconciled(tracked, 3.0, LEASE_S)
+    apply_report(tracked, report_of(3, ("j-1/0#1", "exited")), 4.0, checkin=True)
+    assert not is_reconciled(tracked, 4.0, LEASE_S)
 
 
-def test_a_kill_that_did_not_work_is_given_again() -> None:
-    station = known(RUNNING)
-    assert reconcile(station, bound("cancelled"), 2.0, LEASE_S).calls
-    assert not reconcile(station, bound("cancelled"), 3.0, LEASE_S).calls
-    assert not is_settled(station, 3.0, LEASE_S)
-    assert reconcile(station, bound("cancelled"), 4.1, LEASE_S).calls
+def test_ineffective_kill_is_repeated() -> None:
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound("cancelled"), 2.0, LEASE_S).calls
+    assert not reconcile(tracked, bound("cancelled"), 3.0, LEASE_S).calls
+    assert not is_reconciled(tracked, 3.0, LEASE_S)
+    assert reconcile(tracked, bound("cancelled"), 4.1, LEASE_S).calls
 
 
-def test_an_empty_plan_before_trust_or_after_a_lease_settles_nothing() -> None:
-    station = known()
-    station.floor = 7
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
-    station = known(RUNNING)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty
-    assert not is_settled(station, 2.0 + 2 * LEASE_S, LEASE_S)
-    late = partial(reconcile, station, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
-    assert late(alone=lambda: False).is_empty and not station.settled
-    assert late(alone=lambda: True).exits
+def test_empty_plan_without_trust_or_after_the_lease_is_not_skipped() -> None:
+    tracked = machine_with_report()
+    tracked.takeover_token = 7
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
+    tracked = machine_with_report(RUNNING)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty
+    assert not is_reconciled(tracked, 2.0 + 2 * LEASE_S, LEASE_S)
+    late = partial(reconcile, tracked, bound(), 2.0 + 2 * LEASE_S, LEASE_S)
+    assert late(no_peer_renewed=lambda: False).is_empty and not tracked.reconciled
+    assert late(no_peer_renewed=lambda: True).exits
 
 
-def test_a_start_that_is_on_its_way_settles_nothing() -> None:
-    station = known()
-    station.sent[("j-1", 0, 1)] = Sent(1, 1)
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
-    station = known(RUNNING)
-    station.busy = True
-    assert reconcile(station, bound(), 2.0, LEASE_S).is_empty and not station.settled
+def test_plan_is_not_skipped_while_a_start_or_order_is_in_flight() -> None:
+    tracked = machine_with_report()
+    tracked.sent[("j-1", 0, 1)] = SentStart(1, 1)
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
+    tracked = machine_with_report(RUNNING)
+    tracked.order_in_flight = True
+    assert reconcile(tracked, bound(), 2.0, LEASE_S).is_empty and not tracked.reconciled
 
 
-def test_a_cancellation_that_only_a_sibling_told_reaches_a_settled_machine() -> None:
-    class Told(Alone):
+def test_relayed_cancellation_reaches_a_reconciled_machine() -> None:
+    class NodeWithRelayedCancels(FakeNode):
         relayed: ClassVar[set[str]] = set()
 
-        def relayed_cancels(self) -> set[str]:
+        def relayed_cancellations(self) -> set[str]:
             return self.relayed
 
-    world = Told()
-    found = workers(world)
-    world.put("p/j/j-1", r.JobRecord("open", 1, 0.0, SPEC))
-    world.put("p/m/vm-1", r.MachineRecord("up", "t4", "east", False, "1.2.3.4:5"))
-    world.put("p/c/j-1/0000", [r.Task("vm-1", 1)])
+    node = NodeWithRelayedCancels()
+    found = make_workers(node)
+    node.put("p/j/j-1", r.JobRecord("open", 1, 0.0, SPEC))
+    node.put("p/m/vm-1", r.MachineRecord("up", "t4", "east", False, "1.2.3.4:5"))
+    node.put("p/c/j-1/0000", [r.Task("vm-1", 1)])
 
     def calls(tally: int) -> list[str]:
-        answer = asyncio.run(found.checkin(report("vm-1", tally, "j-1/0")))
+        answer = asyncio.run(found.checkin(checkin_request("vm-1", tally, "j-1/0")))
         return [call["call"] for call in json.loads(answer.body)["calls"]]
 
-    assert calls(1) == calls(2) == [] and found.stations["vm-1"].settled
-    Told.relayed = {"j-1"}
+    assert calls(1) == calls(2) == [] and found.machines["vm-1"].reconciled
+    NodeWithRelayedCancels.relayed = {"j-1"}
     assert calls(3) == ["kill"]
 
 
-def checked(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """Whatever is passed over in a scenario is planned for all the same, on a copy."""
-    told: Counter[str] = Counter()
-    passes_over = Workers._is_settled
+def count_skipped_plans(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
+    """Makes a full plan on a copy whenever planning is skipped, and counts those not empty."""
+    counts: Counter[str] = Counter()
+    original = Workers._is_reconciled
 
-    def is_settled(self: Workers, station: Station, now: float) -> bool:
-        found = passes_over(self, station, now)
+    def is_reconciled(self: Workers, tracked: TrackedMachine, now: float) -> bool:
+        found = original(self, tracked, now)
         if found:
-            twin = copy.deepcopy(station)
+            copied = copy.deepcopy(tracked)
             lease_s = self._times.lease_s
-            alone = partial(self._keeping.alone, station)
-            should = wanted(self._replica, station.id, self._membership.relayed_cancels())
-            plan = reconcile(twin, should, now, lease_s, alone)
-            told["passed over" if plan.is_empty else "missed"] += 1
+            no_peer_renewed = partial(self._partition_policy.no_peer_renewed, tracked)
+            desired = desired_tasks(
+                self._replica, tracked.id, self._membership.relayed_cancellations()
+            )
+            plan = reconcile(copied, desired, now, lease_s, no_peer_renewed)
+            counts["skipped" if plan.is_empty else "missed"] += 1
         return found
 
-    monkeypatch.setattr(Workers, "_is_settled", is_settled)
-    return told
+    monkeypatch.setattr(Workers, "_is_reconciled", is_reconciled)
+    return counts
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nothing_is_missed_while_troubles_overlap(
+def test_no_skipped_plan_would_have_contained_anything(
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Restarts of nodes and machines, cuts, outages, late copies: several at a time."""
-    told = checked(monkeypatch)
+    """Runs overlapping restarts, partitions, outages and delayed copies."""
+    counts = count_skipped_plans(monkeypatch)
     path = tmp_path / "day.txt"
     path.write_text(restarts.scenario(seed))
     played = play(path, seed)
     assert not played.rules.broken and not played.failures
-    assert told["passed over"] > 1000 and not told["missed"], told
+    assert counts["skipped"] > 1000 and not counts["missed"], counts
