--- a/pulleydeal/app.py
+++ b/pulleydeal/app.py
@@ -1,4 +1,4 @@
-"""Puts the slices together and runs their loops."""
+"""Builds the services of a node and runs their loops."""
 
 import asyncio
 import logging
@@ -8,13 +8,13 @@
 from pulleydeal import constants as c
 from pulleydeal.clock import Clock
 from pulleydeal.credits.service import Credits
-from pulleydeal.features.context import FeatureContext, Service, Step
+from pulleydeal.features.context import FeatureContext, NodeContext, Step
 from pulleydeal.features.settings import Features
-from pulleydeal.features.switch import partition_policy, switched_on
+from pulleydeal.features.switch import create_features, create_partition_policy
 from pulleydeal.fleet.catalog import CatalogUpdater
 from pulleydeal.fleet.cloud import Cloud
 from pulleydeal.fleet.service import Fleet
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from pulleydeal.journal.service import Journal
 from pulleydeal.lateness import LoopLag, Precedence
 from pulleydeal.membership.service import Membership
@@ -24,7 +24,7 @@
 from pulleydeal.policy.settings import Policy
 from pulleydeal.settings import Settings
 from pulleydeal.store.client import StateClient
-from pulleydeal.store.limits import tightest
+from pulleydeal.store.limits import effective_limits
 from pulleydeal.store.replica import Replica
 from pulleydeal.store.service import Backoff, Store, forever
 from pulleydeal.submissions.service import Submissions
@@ -36,6 +36,8 @@
 
 
 class App:
+    """One controller node."""
+
     def __init__(
         self,
         settings: Settings,
@@ -53,7 +55,7 @@
         self.lateness = LoopLag(clock)
         self.client = StateClient(settings.endpoints.state, clock, limits, nodes)
         self.replica = Replica()
-        self.store = Store(self.client, self.replica, clock, rng, tightest(limits))
+        self.store = Store(self.client, self.replica, clock, rng, effective_limits(limits))
         self.siblings = Siblings(settings, clock)
         self.membership = Membership(settings, self.store, self.siblings, clock, rng)
         self.journal = self.store.journal = Journal(self.membership, self.store, Backoff(rng))
@@ -62,9 +64,15 @@
         context = FeatureContext(
             self.membership, self.siblings, self.store, clock, self.metrics, deployment, machines
         )
-        kept, found = partition_policy(features, context)
+        partition_policy, early_features = create_partition_policy(features, context)
         self.workers = Workers(
-            self.membership, self.store, deployment.workers, clock, self.metrics, machines, kept
+            self.membership,
+            self.store,
+            deployment.workers,
+            clock,
+            self.metrics,
+            machines,
+            partition_policy,
         )
         self.eviction = Eviction(
             self.membership,
@@ -73,7 +81,7 @@
             clock,
             machines,
             self.workers.commander,
-            kept,
+            partition_policy,
             rules.classes_with_objective(deployment.objectives),
         )
         self.credits = Credits(
@@ -111,7 +119,7 @@
             limits,
             policy,
             self.eviction.unreachable_zones,
-            kept,
+            partition_policy,
         )
         self.submissions = Submissions(
             self.membership,
@@ -121,17 +129,17 @@
             clock,
             self.metrics,
             self.placement.reason,
-            kept,
+            partition_policy,
         )
         sockets = int(deployment.machine_limits.max_sockets * c.SOCKET_SHARE_SERVER)
         self.server = Server(
             self.handle,
             sockets,
-            crowd="/submissions",
-            crowd_at_once=self.lateness.max_user_requests,
+            throttled_prefix="/submissions",
+            max_throttled=self.lateness.max_user_requests,
         )
 
-        service = Service(
+        service = NodeContext(
             self.membership,
             self.siblings,
             self.store,
@@ -141,52 +149,54 @@
             machines,
             teams,
             zones,
-            kept,
+            partition_policy,
             lambda: self.submissions.ready,
             self.placement.reason,
             self.journal,
         )
-        self.features = switched_on(features, service, found)
-        self._paths = {part: h for feature in self.features for part, h in feature.paths().items()}
+        self.features = create_features(features, service, early_features)
+        self._paths = {
+            segment: h for feature in self.features for segment, h in feature.paths().items()
+        }
 
     async def handle(self, request: Request) -> Response:
         path = request.path.partition("?")[0]
         if path == "/checkin":
             if request.method != "POST":
-                return answer(405, {"error": "only POST"})
+                return json_response(405, {"error": "only POST"})
             return await self.workers.checkin(request)
         if path == "/submissions" or path.startswith("/submissions/"):
             return await self.submissions.handle(request)
         if (handler := self._paths.get(path.split("/")[1])) is not None:
             return await handler(request)
         if request.method != "GET":
-            return answer(404 if path not in ("/up", "/metrics") else 405, {"error": path})
+            return json_response(404 if path not in ("/up", "/metrics") else 405, {"error": path})
         if path == "/up":
             ready = self.submissions.ready
-            return answer(200 if ready else 503, {"ready": ready})
+            return json_response(200 if ready else 503, {"ready": ready})
         if path == "/metrics":
-            return Response(200, self._measures(), content_type="text/plain; version=0.0.4")
-        return answer(404, {"error": "no such path"})
+            return Response(200, self._metrics_text(), content_type="text/plain; version=0.0.4")
+        return json_response(404, {"error": "no such path"})
 
-    def _measures(self) -> bytes:
+    def _metrics_text(self) -> bytes:
         self.metrics.epoch.set(self.membership.epoch)
         self.metrics.store_requests.set(self.client.requests)
         self.metrics.store_refusals.set(self.client.refusals)
-        self.metrics.strangers.set(self.siblings.strangers)
-        self.metrics.loop_late.set(self.lateness.lag_s)
+        self.metrics.rejected_connections.set(self.siblings.rejected_connections)
+        self.metrics.loop_lateness.set(self.lateness.lag_s)
         self.metrics.checkin_age.set(self.workers.oldest_report_s())
         return self.metrics.text()
 
-    def _put_off(self, precedence: Precedence, step: Step) -> Step:
-        """The step, each time after the pause that the node's lateness asks of it."""
+    def _delayed(self, precedence: Precedence, step: Step) -> Step:
+        """Wraps a step so that each round first waits as the event loop's lateness requires."""
 
-        async def later() -> None:
+        async def delayed_step() -> None:
             pause_s = self.lateness.pause_s(precedence)
             if pause_s > 0:
                 await asyncio.sleep(pause_s)
             await step()
 
-        return later
+        return delayed_step
 
     def _loops(self) -> dict[str, Step]:
         placement = {"credits": self.credits.work, "placement": self.placement.work}
@@ -195,18 +205,18 @@
             "rent": self.fleet.rent,
             "return": self.fleet.return_machines,
             "list": self.fleet.check_listing,
-            "journal": self.journal.tidy,
+            "journal": self.journal.compact,
         }
         return {
             "lateness": self.lateness.measure,
             "follow": self.store.follow,
-            "membership": self.membership.keep,
-            "view": self.membership.tend,
-            "beat": self.membership.beat,
+            "membership": self.membership.maintain_membership,
+            "view": self.membership.maintain_view,
+            "beat": self.membership.heartbeat,
             "workers": self.workers.work,
             "machines": self.eviction.run_round,
-            **{k: self._put_off(Precedence.PLACEMENT, step) for k, step in placement.items()},
-            **{k: self._put_off(Precedence.UPKEEP, step) for k, step in upkeep.items()},
+            **{k: self._delayed(Precedence.PLACEMENT, step) for k, step in placement.items()},
+            **{k: self._delayed(Precedence.UPKEEP, step) for k, step in upkeep.items()},
         }
 
     async def run(self) -> None:
--- a/pulleydeal/store/replica.py
+++ b/pulleydeal/store/replica.py
@@ -38,69 +38,74 @@
 
 
 # Called with (kind, id). Kinds: view, member, software, job, machine, rental, catalog, feature,
-# journal, and bound, whose id is a machine with changed bindings. It saves listeners from scanning
-# all machines or all tasks of a job.
+# journal, and bound, whose id is a machine with changed bindings: with "bound", listeners need not
+# scan all machines or all tasks of a changed job.
 Listener = Callable[[str, str], None]
 
 
 class Replica:
-    """Read by plain attribute access on the event loop; changed only under its lock."""
+    """Read by plain attribute access on the event loop; each change is made under the lock."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._listeners: list[Listener] = []
-        # Enabled feature -> its records by name, with their versions. Records of features that
-        # are not enabled here are not kept.
+        # Feature enabled on this node -> its records by name: (value, version). Records of other
+        # features are not kept.
         self._features: dict[str, dict[str, tuple[bytes, int]]] = {}
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
-        self.open_changes = 0  # incremented when a job record changes, and on each reload
+        self.job_changes = 0  # incremented when a job record changes, and on each reload
         self._clear()
 
     def _clear(self) -> None:
         self.revision = 0
         self.loaded = False
         self.jobs: dict[str, Job] = {}
-        self.open_jobs: set[str] = set()
-        # Those of `open_jobs` that are cancelled: some of their tasks may not be proved gone.
+        # Jobs that are not retired, whatever their status: their records still have the spec.
+        self.jobs_with_spec: set[str] = set()
+        # Cancelled jobs among those: some of their tasks may not be proved gone.
         self.cancelled_jobs: set[str] = set()
         self.machines: dict[str, Machine] = {}
         self.rentals: dict[str, Rental] = {}
-        self.members: dict[str, str] = {}
-        self.formats: dict[str, int] = {}  # member -> record format of its version
-        self.software: dict[str, int] = {}  # node -> the same, kept while it is away
-        self.shown: dict[str, dict[str, int]] = {}  # node -> its enabled features
+        self.members: dict[str, str] = {}  # member -> incarnation
+        self.member_formats: dict[str, int] = {}  # member -> its release's record format
+        self.node_formats: dict[str, int] = {}  # the same of each node, member or not
+        self.node_features: dict[str, dict[str, int]] = {}  # node -> its enabled features
         for records in self._features.values():
             records.clear()
         self.view = r.View()
         self.view_version = 0
         self.catalog = r.Catalog()
-        self.more_types: dict[str, r.Catalog] = {}  # those that do not fit into the catalog's value
+        self.extra_types: dict[str, r.Catalog] = {}  # more types, under keys of their own
         self.types: dict[str, r.MachineType] = {}
-        self.bound: dict[str, dict[TaskId, r.Task]] = {}
+        self.tasks_by_machine: dict[str, dict[TaskId, r.Task]] = {}
         self.zone_of: dict[str, str] = {}  # machine -> zone
-        self.open_changes += 1
+        self.job_changes += 1
         self._pipelines = Pipelines(self.jobs)
-        self._affected_jobs: set[str] = set()  # changed by facts or by other jobs, not yet notified
+        self._affected_jobs: set[str] = set()  # changed by facts or other jobs; to be notified
         self._usage: dict[str, tuple[float, float]] = {}  # team -> cpus, gpus of its bound tasks
-        self._rebound_machines: set[str] = set()  # machines with changed bindings, not yet notified
-        # Journal values by start and position, and facts of jobs not known yet: during a load,
-        # a journal value may be read that is newer than the pages with the jobs.
+        self._rebound_machines: set[str] = set()  # machines with changed bindings; to be notified
+        # "<process start>/<position in its journal>" -> value
         self.journals: dict[str, JournalValue] = {}
+        # Job -> its facts, while the job is not known: during a load, a journal value may be newer
+        # than the pages with the jobs.
         self._facts_before_job: dict[str, list[facts.Fact]] = {}
-        self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks whose state is no single fact
+        self._merged_tasks: dict[str, set[int]] = {}  # job -> tasks merged from several facts
         self._versions: dict[str, int] = {}  # key -> version
         # Deleted key -> version of its delete, until the replica's revision has reached it.
         self._deleted: dict[str, int] = {}
 
-    def keep_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
-        """Keeps this feature's records from the next load on. Returns the dict that holds them."""
+    def track_feature(self, feature: str) -> dict[str, tuple[bytes, int]]:
+        """Keeps this feature's records; those that came before are missing until the next load.
+
+        Returns the dict that holds them.
+        """
         return self._features.setdefault(feature, {})
 
     def version(self, key: str) -> int:
         """The version for a commit's condition on this key; 0 if the key is absent."""
         return self._versions.get(key, 0)
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         self._listeners.append(listener)
 
     # --- changes ------------------------------------------------------------------------
@@ -135,8 +140,8 @@
         self._notify([t for t in touched if t is not None])
         self._wake_waiters()
 
-    def committed(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
-        """Applies this node's own committed transaction before the watch delivers it."""
+    def apply_commit(self, puts: dict[str, bytes], deletes: list[str], version: int) -> None:
+        """Applies this node's own committed transaction before the state service's watch does."""
         touched = []
         with self._lock:
             for key, value in puts.items():
@@ -152,7 +157,7 @@
         if version <= max(self._versions.get(key, 0), self._deleted.get(key, 0)):
             return None
         self._versions[key] = version
-        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")  # see store/records.py
         if kind == "j":
             self._set_job(suffix, r.JOB.decode(value), version)
             return "job", suffix
@@ -173,11 +178,14 @@
         if kind == "n":
             member = r.MEMBER.decode(value)
             self.members[suffix] = member.incarnation
-            self.formats[suffix] = member.format
+            self.member_formats[suffix] = member.format
             return "member", suffix
         if kind == "s":
             software = r.SOFTWARE.decode(value)
-            self.software[suffix], self.shown[suffix] = software.format, software.features
+            self.node_formats[suffix], self.node_features[suffix] = (
+                software.format,
+                software.features,
+            )
             return "software", suffix
         if kind == "f":
             feature, _, name = suffix.partition("/")
@@ -193,7 +201,7 @@
             self.catalog = r.CATALOG_DECODER.decode(value)
             return self._update_types()
         if kind == "t":
-            self.more_types[suffix] = r.CATALOG_DECODER.decode(value)
+            self.extra_types[suffix] = r.CATALOG_DECODER.decode(value)
             return self._update_types()
         return None
 
@@ -202,7 +210,7 @@
             return None
         self._versions.pop(key, None)
         self._deleted[key] = version
-        kind, _, suffix = key.removeprefix(r.PREFIX).partition("/")
+        kind, _, suffix = key.removeprefix(r.KEY_PREFIX).partition("/")  # see store/records.py
         if kind == "c":
             job, _, index = suffix.partition("/")
             self._drop_chunk(job, int(index, 16))
@@ -219,10 +227,10 @@
             return "rental", suffix
         if kind == "n":
             self.members.pop(suffix, None)
-            self.formats.pop(suffix, None)
+            self.member_formats.pop(suffix, None)
             return "member", suffix
         if kind == "t":
-            self.more_types.pop(suffix, None)
+            self.extra_types.pop(suffix, None)
             return self._update_types()
         if kind == "f":
             feature, _, name = suffix.partition("/")
@@ -231,19 +239,19 @@
         return None
 
     def _update_types(self) -> tuple[str, str]:
-        more = [t for _, catalog in sorted(self.more_types.items()) for t in catalog.types]
-        self.types = {t.name: t for t in [*self.catalog.types, *more]}
+        extra = [t for _, catalog in sorted(self.extra_types.items()) for t in catalog.types]
+        self.types = {t.name: t for t in [*self.catalog.types, *extra]}
         return "catalog", ""
 
     def _set_job(self, job_id: str, record: r.JobRecord, version: int) -> None:
         job = self.jobs.setdefault(job_id, Job(job_id))
-        if record.spec is None:
+        if record.spec is None:  # retired: only the slim record is left
             for index in list(job.chunks):
                 self._drop_chunk(job_id, index)
-            self.open_jobs.discard(job_id)
+            self.jobs_with_spec.discard(job_id)
             self._merged_tasks.pop(job_id, None)
         else:
-            self.open_jobs.add(job_id)
+            self.jobs_with_spec.add(job_id)
         if record.spec is not None and record.state == "cancelled":
             self.cancelled_jobs.add(job_id)
         else:
@@ -254,8 +262,9 @@
         if record.spec is None:
             job.spec = None
         self._affected_jobs |= self._pipelines.update(job)
-        self._add_usage(job, job.bound)  # chunks may be loaded before their job's spec
-        self.open_changes += 1
+        # With the spec from `update`: chunks may be loaded before the record of their job.
+        self._add_usage(job, job.bound)
+        self.job_changes += 1
         facts_before_job = self._facts_before_job.pop(job_id, None)
         if facts_before_job is not None:
             self._merge(facts_before_job)
@@ -279,17 +288,17 @@
                 self._facts_before_job.setdefault(fact.job, []).append(fact)
                 continue
             if job.record.spec is None:
-                continue  # over, with all its tasks gone
+                continue  # retired
             k, offset = divmod(fact.index, c.CHUNK_TASKS)
             tasks = changed.get((fact.job, k))
             if tasks is None:
                 tasks = changed[(fact.job, k)] = self._copy_tasks(job, job.record.tasks, k)
             if offset < len(tasks):
                 known = tasks[offset]
-                tasks[offset] = facts.joined(known, fact.task)
+                tasks[offset] = facts.merge_tasks(known, fact.task)
                 self._track_merged(fact, known, tasks[offset])
         for (job_id, k), tasks in changed.items():
-            self._set_chunk(job_id, k, tasks, 0)
+            self._set_chunk(job_id, k, tasks, 0)  # 0: not a stored chunk
             self._affected_jobs.add(job_id)
 
     def _track_merged(self, fact: facts.Fact, known: r.Task, merged: r.Task) -> None:
@@ -298,7 +307,7 @@
         elif merged != known:
             self._merged_tasks.setdefault(fact.job, set()).add(fact.index)
 
-    def is_combined(self, job: str, index: int) -> bool:
+    def is_merged(self, job: str, index: int) -> bool:
         """Whether the state of a journaled job's task was merged from several facts."""
         return index in self._merged_tasks.get(job, ())
 
@@ -324,10 +333,10 @@
             self._unindex(job, task_index, previous)
             job.done += task.done
             if not task.done:
-                job.last_stop = task.stop or task.why or job.last_stop
+                job.last_stop_reason = task.stop or task.why or job.last_stop_reason
             if task.machine:
-                job.on_machines[task_index] = task
-                self.bound.setdefault(task.machine, {})[(job_id, task_index)] = task
+                job.bound_tasks[task_index] = task
+                self.tasks_by_machine.setdefault(task.machine, {})[(job_id, task_index)] = task
                 self._rebound_machines.add(task.machine)
                 self._add_usage(job, 1)
         job.chunks[chunk_index] = Chunk(version, tasks, waiting)
@@ -343,15 +352,15 @@
         job.done -= task.done
         if task.machine:
             self._rebound_machines.add(task.machine)
-            del job.on_machines[task_index]
+            del job.bound_tasks[task_index]
             self._add_usage(job, -1)
-            on_machine = self.bound[task.machine]
+            on_machine = self.tasks_by_machine[task.machine]
             del on_machine[(job.id, task_index)]
             if not on_machine:
-                del self.bound[task.machine]
+                del self.tasks_by_machine[task.machine]
 
-    # --- waiting ------------------------------------------------------------------------
-    async def reach(self, revision: int) -> None:
+    # --- waiting and notifying ----------------------------------------------------------
+    async def wait_for_revision(self, revision: int) -> None:
         """Returns once the replica is at least as new as `revision`."""
         if self.loaded and self.revision >= revision:
             return
@@ -383,6 +392,8 @@
     def usage(self) -> dict[str, tuple[float, float]]:
         """(cpus, gpus) per team of all bound tasks, that is, those not proved gone.
 
+        Proved gone: not running by its machine's report, or the machine is gone or its lease over.
+
         Updated as bindings change, since the cost of recounting grew with the number of tasks.
         """
         return self._usage
--- a/pulleydeal/workers/orders.py
+++ b/pulleydeal/workers/orders.py
@@ -4,9 +4,9 @@
 from typing import Protocol
 
 from pulleydeal import constants as c
-from pulleydeal.background import Background
+from pulleydeal.background import BackgroundTasks
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Withdrawn
+from pulleydeal.http import Client, NoResponse, RequestWithdrawn
 from pulleydeal.workers import messages as m
 from pulleydeal.workers.commands import Order, WithdrawalReason
 from pulleydeal.workers.incarnation import KnownState, known_state
@@ -58,7 +58,7 @@
         self._clients: dict[str, Client] = {}
         self._order_slots = asyncio.Semaphore(c.ORDERS_IN_FLIGHT)
         self._probe_slots = asyncio.Semaphore(c.PROBES_IN_FLIGHT)
-        self._background = Background("sending an order failed")
+        self._background = BackgroundTasks("sending an order failed")
 
     def drop(self, addr: str) -> None:
         """Closes the connections to an address that no longer belongs to an owned machine."""
@@ -140,9 +140,9 @@
         client = self._client(tracked.addr)
         try:
             status, reply = await client.request("POST", "/orders", body, timeout_s, may_send)
-        except Withdrawn:
+        except RequestWithdrawn:
             raise _OrderWithdrawn(reasons[0]) from None
-        except NoAnswer as error:
+        except NoResponse as error:
             outcome = Outcome.UNANSWERED if error.sent else Outcome.NOT_SENT
             return OrderResult(outcome, reason=str(error)), before
         return read_answer(order, status, reply), before
@@ -194,5 +194,5 @@
         if order.runs:
             tracked.raise_fence()
         for start in order.runs:
-            tracked.sent[start].fence = self._handler.token(tracked)
+            tracked.sent[start].fence_token = self._handler.token(tracked)
             tracked.sent[start].direct = False
--- a/pulleydeal/zones/monitor.py
+++ b/pulleydeal/zones/monitor.py
@@ -99,7 +99,7 @@
         """
         wall = self._context.clock.wall()
         found = []
-        for name in self._replica.open_jobs:
+        for name in self._replica.jobs_with_spec:
             job = self._replica.jobs[name]
             late = (
                 job.untold
@@ -115,7 +115,7 @@
         for name, machine in self._replica.machines.items():
             if machine.record.zone != zone or machine.record.state not in ("up", "drain"):
                 continue
-            bound = self._replica.bound.get(name, {})
+            bound = self._replica.tasks_by_machine.get(name, {})
             jobs = [self._replica.jobs[job] for job in {job for job, _ in bound}]
             found.append(
                 losses.LostMachine(
@@ -141,6 +141,6 @@
         """Whether copies of services wait for room, so that no more may be displaced."""
         return any(
             job.is_ready and job.spec.kind == "service" and job.bound < job.spec.tasks
-            for job in map(self._replica.jobs.__getitem__, self._replica.open_jobs)
+            for job in map(self._replica.jobs.__getitem__, self._replica.jobs_with_spec)
             if job.spec is not None
         )
--- a/pulleydeal/zones/service.py
+++ b/pulleydeal/zones/service.py
@@ -81,7 +81,7 @@
         )
         self._deafness_monitor = DeafnessMonitor(context, self.peer_observations, self._all_enabled)
         self._siblings.on(NODE_STATUS, self._on_status)
-        self._replica.listen(self._on_change)
+        self._replica.add_listener(self._on_change)
 
     # --- the feature interface --------------------------------------------------------------
     async def start(self) -> None:
@@ -154,8 +154,8 @@
     # --- proxy renewal ----------------------------------------------------------------------
     def _local_node(self) -> decide.LocalNode:
         now = self._clock.now()
-        heard = self._siblings.heard_s()
-        peer_silence_s = min(
+        heard = self._siblings.silence_s()
+        informed_peer_silence_s = min(
             (
                 now - self._served_at.get(node, -1e9) if contact.zone == self._zone else heard[node]
                 for node, contact in self._contacts.items()
@@ -167,12 +167,12 @@
             self._membership.epoch,
             self._replica.loaded and self._membership.is_member,
             self._all_enabled(),
-            now - self._store.current_at,
-            peer_silence_s,
+            now - self._store.fresh_as_of,
+            informed_peer_silence_s,
         )
 
     def _all_enabled(self) -> bool:
-        return self._membership.all_serve("zones", z.FORMAT)
+        return self._membership.all_enable("zones", z.FORMAT)
 
     def renews_for_owner(self, report: m.Report) -> bool:
         node = self._local_node()
@@ -181,7 +181,7 @@
             name
             for name in reported
             if (job := self._replica.jobs.get(name)) is not None and job.is_cancelled
-        } | (reported & self._membership.relayed_cancels())
+        } | (reported & self._membership.relayed_cancellations())
         epoch = report.token >> c.EPOCH_SHIFT
         why = decide.renewal_refusal(node, report.zone, epoch, reported, cancelled)
         if why:
@@ -202,7 +202,7 @@
             )
 
     def may_renew_while_stale(self, zone: str) -> bool:
-        return zone == self._zone and not decide.state_refusal(self._local_node())
+        return zone == self._zone and not decide.stale_renewal_refusal(self._local_node())
 
     # --- lease expiry, cancellations and returns ----------------------------------------------
     def no_peer_renewed(self, tracked: TrackedMachine) -> bool:
@@ -231,7 +231,7 @@
             contact
             for node, contact in self._contacts.items()
             if (contact.zone in zones or None in zones)
-            and self._replica.shown.get(node, {}).get("zones")
+            and self._replica.node_features.get(node, {}).get("zones")
         ]
         return decide.may_confirm_cancel(peers, job.version)
 
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 
 StartWorker = Callable[[str, dict[str, Any], str, bool], Any]  # machine, type, zone, spot
 
@@ -55,18 +55,18 @@
 
     async def handle(self, request: Request) -> Response:
         if self.down:
-            return answer(503, {"error": "trouble"})
+            return json_response(503, {"error": "trouble"})
         await asyncio.sleep(0.25)
         url = urlsplit(request.path)
         if url.path == "/catalog":
-            return answer(200, {"rig_models": list(self._machine_types.values())})
+            return json_response(200, {"rig_models": list(self._machine_types.values())})
         if url.path == "/rentals" and request.method == "GET":
             return self._list({k: v[0] for k, v in parse_qs(url.query).items()})
         body = json.loads(request.body)
         if url.path == "/rentals/return":
             for machine in body["blocks"]:
                 self.remove(machine)
-            return answer(200, {})
+            return json_response(200, {})
         return self._rent(body)
 
     def remove(self, machine: str) -> None:
@@ -85,19 +85,21 @@
         shown = next((s for at, s in reversed(self._history) if at <= listed_at), [])
         after, limit = query.get("after", ""), int(query.get("limit", 500))
         remaining = [entry for entry in shown if entry["name_id"] > after]
-        return answer(200, {"blocks": remaining[:limit], "truncated": len(remaining) > limit})
+        return json_response(
+            200, {"blocks": remaining[:limit], "truncated": len(remaining) > limit}
+        )
 
     def _rent(self, body: dict[str, Any]) -> Response:
         if body["hire"] in self._rentals:
-            return answer(200, {"blocks": self._rentals[body["hire"]]})
+            return json_response(200, {"blocks": self._rentals[body["hire"]]})
         pool = (body["yard"], body["loaners"])
         count = min(body["count"], self.capacity.get(pool, 0))
         if count == 0:
-            return answer(503, {"error": "no capacity"})
+            return json_response(503, {"error": "no capacity"})
         self.capacity[pool] -= count
         machines = [self.add(body["rig_model"], *pool) for _ in range(count)]
         self._rentals[body["hire"]] = machines
-        return answer(200, {"blocks": machines})
+        return json_response(200, {"blocks": machines})
 
     def add(self, machine_type: str, zone: str, spot: bool) -> str:
         machine = f"vm-{self._serial + 1:06d}"
--- a/standins/copies.py
+++ b/standins/copies.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
+from pulleydeal.http import Client, NoResponse, Request, Response, Server, json_response
 from pulleydeal.store import records as r
-from pulleydeal.submissions.messages import described
+from pulleydeal.submissions.messages import as_submission
 
 REGISTER_INTERVAL_S = 3.0
 
@@ -75,7 +75,7 @@
             self.served += 1
         status = 200 if good else 500
         self.answered[status] = self.answered.get(status, 0) + 1
-        return answer(status, {"image": self.image})
+        return json_response(status, {"image": self.image})
 
     async def run(self) -> None:
         self.began = self.clock.now()
@@ -109,7 +109,7 @@
                     node, wait = reply["leader"], 0.1
                 else:
                     node, wait = names[(names.index(node) + 1) % len(names)], 0.5
-            except (NoAnswer, ValueError):
+            except (NoResponse, ValueError):
                 node, wait = names[(names.index(node) + 1) % len(names)], 0.5
             finally:
                 client.close()
@@ -169,5 +169,5 @@
     spec = entry[0].get("spec") if entry else None
     if spec is None:
         return None
-    submission = described(msgspec.convert(spec, r.JobSpec))
+    submission = as_submission(msgspec.convert(spec, r.JobSpec))
     return submission | {"_run_s": submission["haul_s"]}
--- a/standins/cron_engine.py
+++ b/standins/cron_engine.py
@@ -16,7 +16,7 @@
 from pulleydeal.settings import Team
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
-from pulleydeal.store.client import Unavailable, Unknown
+from pulleydeal.store.client import OutcomeUnknown, Unavailable
 from pulleydeal.store.limits import Limits
 from pulleydeal.store.replica import Replica
 
@@ -40,7 +40,7 @@
         self.trouble = 0.0  # share of transactions that get no answer
         self.transactions = 0
         self.kept: dict[str, m.Event] = {}  # current keys, for nodes that are added later
-        self.apply({}, {r.VIEW: msgspec.json.encode(r.View(1))}, [])
+        self.apply({}, {r.VIEW_KEY: msgspec.json.encode(r.View(1))}, [])
 
     def apply(self, read: dict[str, int], puts: dict[str, bytes], drops: list[str]) -> bool:
         if any(self.marks.get(key, 0) != mark for key, mark in read.items()):
@@ -70,7 +70,7 @@
         """Makes a node the leader; the new view makes transactions of the old leader fail."""
         self.leader = name
         self.leads += 1
-        self.apply({}, {r.VIEW: msgspec.json.encode(r.View(self.revision))}, [])
+        self.apply({}, {r.VIEW_KEY: msgspec.json.encode(r.View(self.revision))}, [])
 
     def catch_up(self) -> None:
         for at, read, puts, drops in [x for x in self.late if x[0] <= self.now]:
@@ -105,7 +105,7 @@
     def wall(self) -> float:
         return self.world.now + self._clock_offset_s
 
-    def all_serve(self, feature: str, format_: int) -> bool:
+    def all_enable(self, feature: str, format_: int) -> bool:
         return True
 
     def leads(self, thing: str) -> bool:
@@ -126,7 +126,7 @@
         read: dict[str, int],
         puts: dict[str, object],
         drops: list[str] | None = None,
-        turn: object = None,
+        priority: object = None,
     ) -> bool:
         world = self.world
         raw = {key: msgspec.json.encode(value) for key, value in puts.items()}
@@ -139,23 +139,23 @@
                 world.apply(read, raw, drops or [])
             elif fault == 1:
                 world.late.append((world.now + world.rng.uniform(1, 90), read, raw, drops or []))
-            raise Unknown("no answer")
+            raise OutcomeUnknown("no answer")
         applied = world.apply(read, raw, drops or [])
         self.follow()
         return applied
 
     async def look(self) -> None:
-        """Runs one round of the service now."""
+        """Fires the lines that are due now."""
         self.follow()
-        await self.recurring.round()
+        await self.recurring.fire_due_lines()
 
 
 async def bring_in(node: Node, table: str, text: bytes, mapping: str) -> None:
-    imports = node.recurring.interface.imports
+    importer = node.recurring.interface.importer
     node.follow()
-    imports.upload(table, 0, text)
-    plan = await imports.plan(table, mapping)
-    await imports.carry_out(table, plan)
+    importer.upload(table, 0, text)
+    plan = await importer.plan(table, mapping)
+    await importer.apply(table, plan)
 
 
 def next_instant(nodes: list[Node]) -> float | None:
@@ -163,7 +163,7 @@
     found = [
         loaded.queue[0][0]
         for node in nodes
-        for loaded in node.recurring.loaded.values()
+        for loaded in node.recurring.loaded_tables.values()
         if loaded.queue
     ]
     return min(found, default=None)
@@ -188,7 +188,7 @@
             elif draw < 0.035:  # all nodes restart with empty memory
                 world.now += rng.uniform(1.0, 100.0)
                 for node in nodes:
-                    node.recurring.loaded.clear()
+                    node.recurring.loaded_tables.clear()
         world.catch_up()
         for node in nodes:
             await node.look()
--- a/standins/services.py
+++ b/standins/services.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer
+from pulleydeal.http import Client, NoResponse
 from standins.copies import Copies
 
 TRIES = 3  # number of copies that a consumer asks before it gives up
@@ -53,7 +53,7 @@
             client = Client(self.addresses[name], self._clock)
             try:
                 status, reply = await client.send(method, path, text.encode(), 5.0)
-            except NoAnswer:
+            except NoResponse:
                 status, reply = 0, b"{}"
             client.close()
             if status in (200, 400, 404, 409, 422):
@@ -83,7 +83,7 @@
             client = Client(self._nodes[name], self._clock)
             try:
                 status, reply = await client.request("GET", path, None, 7.0)
-            except NoAnswer:
+            except NoResponse:
                 status, reply = 0, b""
             client.close()
             if status == 200:
@@ -111,7 +111,7 @@
             try:
                 status, _ = await client.request("GET", "/work", None, REQUEST_TIMEOUT_S)
                 result = str(status)
-            except NoAnswer:
+            except NoResponse:
                 result = "none"
                 self._timed_out_at[address] = self._clock.now()
             client.close()
--- a/standins/state.py
+++ b/standins/state.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from pulleydeal.http import Request, Response, Server, answer
+from pulleydeal.http import Request, Response, Server, json_response
 from standins.net import CALLER
 
 MAX_LOG_EVENTS = 10_000
@@ -149,12 +149,12 @@
 
     async def handle(self, request: Request) -> Response:
         if self._is_unavailable() and not request.path.startswith("/watch"):
-            return answer(503, {"error": "outage"})
+            return json_response(503, {"error": "outage"})
         if self.slow_s:
             await asyncio.sleep(self._rng.uniform(0.0, self.slow_s))
         if self._exceeds_request_rate():
             self.counts["refused requests"] += 1
-            return answer(429, {"error": "too many requests"})
+            return json_response(429, {"error": "too many requests"})
         url = urlsplit(request.path)
         self.counts[url.path.split("/")[1]] += 1
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
@@ -169,9 +169,9 @@
             return self._page(query)
         key = url.path.removeprefix("/store/")
         if key not in self.keys:
-            return answer(404, {"ledger": self.ledger})
+            return json_response(404, {"ledger": self.ledger})
         data, revision, lease = self.keys[key]
-        return answer(200, {"k": key, "data": data, "mark": revision, "charter": lease})
+        return json_response(200, {"k": key, "data": data, "mark": revision, "charter": lease})
 
     def _is_unavailable(self) -> bool:
         """Whether the service is down for all, or refuses the host that asks."""
@@ -213,29 +213,29 @@
 
     def _transact(self, body: dict[str, Any]) -> Response:
         if self.down:
-            return answer(503, {"error": "outage"})
+            return json_response(503, {"error": "outage"})
         changes = body.get("apply", [])
         violation = self._size_violation(body)
         if violation:
             self.too_large.append(violation)
-            return answer(400, {"error": f"too large: {violation}"})
+            return json_response(400, {"error": f"too large: {violation}"})
         if changes and self._exceeds_write_rate(len(changes)):
             self.counts["refused writes"] += 1
-            return answer(429, {"error": "too many changes"})
+            return json_response(429, {"error": "too many changes"})
         for change in changes:
             if change.get("charter") is not None and change["charter"] not in self._leases:
-                return answer(400, {"error": "no such lease"})
+                return json_response(400, {"error": "no such lease"})
         failed = [
             check["k"]
             for check in body.get("if", [])
             if (self.keys[check["k"]][1] if check["k"] in self.keys else 0) != check["mark"]
         ]
         if failed:
-            return answer(409, {"failed": failed, "ledger": self.ledger})
+            return json_response(409, {"failed": failed, "ledger": self.ledger})
         if changes:
             self._apply(changes)
             self.counts["changes"] += len(changes)
-        return answer(200, {"ledger": self.ledger})
+        return json_response(200, {"ledger": self.ledger})
 
     def _page(self, query: dict[str, str]) -> Response:
         if self._sorted_keys is None:
@@ -250,7 +250,7 @@
             {"k": k, "data": self.keys[k][0], "mark": self.keys[k][1]} for k in names[:limit]
         ]
         more = len(names) > limit
-        reply = answer(200, {"entries": entries, "truncated": more, "ledger": self.ledger})
+        reply = json_response(200, {"entries": entries, "truncated": more, "ledger": self.ledger})
         self.counts["page bytes"] += len(reply.body)
         return reply
 
@@ -264,7 +264,7 @@
             if not unavailable:
                 seen_revision = self.ledger
             elif self.watches_end and loop.time() >= until:
-                return answer(200, {"ledger": seen_revision, "events": []})
+                return json_response(200, {"ledger": seen_revision, "events": []})
             if not unavailable:
                 if (
                     self._log
@@ -272,7 +272,7 @@
                     and self._log[0]["mark"] > after + 1
                 ):
                     self.counts["watches too old"] += 1
-                    return answer(410, {})
+                    return json_response(410, {})
                 first = bisect_right(self._log, after, key=lambda event: int(event["mark"]))
                 events = [
                     e
@@ -280,7 +280,7 @@
                     if e.get("set", e.get("drop")).startswith(query["under"])
                 ]
                 if events or loop.time() >= until:
-                    reply = answer(200, {"ledger": self.ledger, "events": events})
+                    reply = json_response(200, {"ledger": self.ledger, "events": events})
                     self.counts["watched events"] += len(events)
                     self.counts["watch bytes"] += len(reply.body)
                     return reply
@@ -298,15 +298,15 @@
             ttl = body["ttl_ms"] / 1000
             lease = max(self._leases, default=0) + 1
             self._leases[lease] = [now + ttl, ttl]
-            return answer(200, {"charter": lease})
+            return json_response(200, {"charter": lease})
         lease = int(parts[1])
         if lease not in self._leases:
-            return answer(404, {})
+            return json_response(404, {})
         if method == "DELETE":
             self._end_lease(lease)
         else:
             self._leases[lease][0] = now + self._leases[lease][1]
-        return answer(200, {"charter": lease})
+        return json_response(200, {"charter": lease})
 
 
 async def wait_forever() -> None:
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pulleydeal.clock import Clock
-from pulleydeal.http import Client, NoAnswer, Request, Response, Server, answer
+from pulleydeal.http import Client, NoResponse, Request, Response, Server, json_response
 from standins.gangs import Gangs
 from standins.net import LINK
 from standins.rules import Rules
@@ -175,7 +175,7 @@
                 self.reports += 1
                 self.report_bytes += len(payload)
                 self.answer_bytes += len(body)
-            except NoAnswer:
+            except NoResponse:
                 status, reply = 0, {}
             if self._clock.now() - sent_at > ANSWER_S:
                 status = 0  # the answer arrived while the machine was frozen
@@ -210,7 +210,7 @@
     async def _send_late_copy(self, report: dict[str, Any], node: str) -> None:
         await asyncio.sleep(self._rng.uniform(2.0, LATE_COPY_MAX_S))
         client = Client(self._nodes[node], self._clock)
-        with contextlib.suppress(NoAnswer):
+        with contextlib.suppress(NoResponse):
             await client.request("POST", "/checkin", report, 4.0)
         client.close()
 
@@ -218,26 +218,28 @@
         if not self.reachable:
             await asyncio.get_running_loop().create_future()  # never completes
         if request.path == "/inspect":
-            return answer(200, self.report())
+            return json_response(200, self.report())
         self.orders += 1
         wrong = self.wrong_answers.draw()
         if wrong is None:
             return self._handle_order(request)
-        correct = self._handle_order(request) if wrong.executes else answer(200, self.report())
+        correct = (
+            self._handle_order(request) if wrong.executes else json_response(200, self.report())
+        )
         return wrong.corrupt(correct)
 
     def _handle_order(self, request: Request) -> Response:
         body = json.loads(request.body)
         if "whistle" not in body or "shift" not in body:
-            return answer(400, {})
+            return json_response(400, {})
         if body["whistle"] < self.token or body["shift"] != self.session:
-            return answer(409, self.report())
+            return json_response(409, self.report())
         if body["whistle"] > self.token:
             self.token = body["whistle"]
         link = LINK.get(None)
         self.execute(body["calls"], link.sent_at if link is not None else self._clock.now())
         self._report_due.set()
-        return answer(200, self.report())
+        return json_response(200, self.report())
 
     # --- commands ---------------------------------------------------------------------------
     def execute(self, commands: list[dict[str, Any]], ordered_at: float) -> None:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -34,7 +34,7 @@
 ) -> None:
     async def fails(self: Store) -> int:
         await asyncio.sleep(0.02)
-        self._barrier = None
+        self._pending_read = None
         raise RuntimeError("for a test")
 
     def ignore_failure(future: object) -> None:
@@ -43,7 +43,7 @@
     path = tmp_path / "day.txt"
     path.write_text("1 submit j-1 batch 1 5\n2 poll j-1\n9 poll j-1")
     assert play(path, 1).failures == []
-    monkeypatch.setattr(service, "take_failure", ignore_failure)
+    monkeypatch.setattr(service, "retrieve_exception", ignore_failure)
     monkeypatch.setattr(Store, "_read_revision", fails)
     monkeypatch.setattr(c, "FRESH_TIMEOUT_S", 0.01)
     assert any("for a test" in line for line in play(path, 1).failures)
@@ -210,7 +210,7 @@
         accepted_run.rules.broken == accepted_run.failures == []
         and len(accepted_run.rules.unfit) > 90
     )
-    monkeypatch.setattr(submissions, "refusal", lambda *_: "")
+    monkeypatch.setattr(submissions, "rejection_reason", lambda *_: "")
     unchecked_run = play(path, 1)
     assert any("unfit: j-7" in line for line in unchecked_run.rules.broken)
     assert any("unknown team: 201" in line for line in unchecked_run.failures)
--- a/tests/test_settled.py
+++ b/tests/test_settled.py
@@ -35,7 +35,7 @@
     """A machine that reported these tasks in a check-in, which its owner answered."""
     tracked = TrackedMachine("vm-1", "t4", "east", False, 0.0, 0, set())
     apply_report(tracked, report_of(1, *tasks), 1.0, checkin=True)
-    tracked.last_answer_at = 1.0
+    tracked.checkin_answered_at = 1.0
     return tracked
 
 
@@ -95,7 +95,7 @@
     class NodeWithRelayedCancels(FakeNode):
         relayed: ClassVar[set[str]] = set()
 
-        def relayed_cancels(self) -> set[str]:
+        def relayed_cancellations(self) -> set[str]:
             return self.relayed
 
     node = NodeWithRelayedCancels()
@@ -124,7 +124,9 @@
             copied = copy.deepcopy(tracked)
             lease_s = self._times.lease_s
             no_peer_renewed = partial(self._partition_policy.no_peer_renewed, tracked)
-            desired = desired_tasks(self._replica, tracked.id, self._membership.relayed_cancels())
+            desired = desired_tasks(
+                self._replica, tracked.id, self._membership.relayed_cancellations()
+            )
             plan = reconcile(copied, desired, now, lease_s, no_peer_renewed)
             counts["skipped" if plan.is_empty else "missed"] += 1
         return found
--- a/tests/test_waiting_turns.py
+++ b/tests/test_waiting_turns.py
@@ -4,7 +4,7 @@
 
 from pulleydeal import constants as c
 from pulleydeal import rules
-from pulleydeal.credits.queue import WaitingRequest, service_order
+from pulleydeal.credits.queue import WaitingRequest, request_order
 from pulleydeal.credits.requests import make_credit_request
 from pulleydeal.placement.failures import FailureBackoff
 from pulleydeal.placement.pending import PendingRequest, PendingRequests
@@ -52,11 +52,12 @@
         return rules.job_rank(job, objectives, waited_s)
 
     short_job_work = 15.0  # waiting work of a short job
-    assert job_rank(c.BEGIN_S) == (0, 12000.0)
-    assert job_rank(c.BEGIN_S + 1) < (0, short_job_work)
+    assert job_rank(c.ARRAY_FIRST_START_S) == (0, 12000.0)
+    assert job_rank(c.ARRAY_FIRST_START_S + 1) < (0, short_job_work)
     assert job_rank(300.0) < (0, short_job_work)  # also after its own objective is missed
-    assert job_rank(300.0, on_machines={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
-    assert job_rank(300.0, last_stop="m") == (1, 40 * 300.0)  # it had started and was preempted
+    assert job_rank(300.0, bound_tasks={0: r.Task("vm-1", 1)}) == (1, 39 * 300.0)
+    # It had started and was preempted.
+    assert job_rank(300.0, last_stop_reason="m") == (1, 40 * 300.0)
     assert (
         rules.job_rank(Job("j-1", 1, r.JobRecord("open", 40, 0.0, spec), spec), [], 300.0)[1]
         > short_job_work
@@ -89,7 +90,7 @@
     ]
     served = [
         (waiting.request.job, waiting.request.index)
-        for waiting in sorted(waiting_requests, key=service_order)
+        for waiting in sorted(waiting_requests, key=request_order)
     ]
     # j-3 has a third of its copies, so it follows when the others have two of their six.
     assert served[:5] == [("j-1", 0), ("j-2", 0), ("j-1", 1), ("j-2", 1), ("j-3", 1)]
@@ -110,5 +111,5 @@
     spec = r.JobSpec("j-1", "c", "core", "service", 3, 4, 1.0, 1.0, 1.0, "img", 1.0)
     record = r.JobRecord("open", 4, 0.0, spec)
     assert requests.count_granted(Job("j-1", 1, record, spec)) == 2
-    bound_job = Job("j-1", 1, record, spec, on_machines={2: r.Task("vm-2", 1)})
+    bound_job = Job("j-1", 1, record, spec, bound_tasks={2: r.Task("vm-2", 1)})
     assert requests.count_granted(bound_job) == 1  # it already counts as bound
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,7 +7,7 @@
 
 from pulleydeal.http import Request
 from pulleydeal.metrics import Metrics
-from pulleydeal.settings import WorkerTimes
+from pulleydeal.settings import WorkerTimings
 from pulleydeal.store import messages as m
 from pulleydeal.store import records as r
 from pulleydeal.store.replica import Replica
@@ -24,7 +24,7 @@
     is_member = True
     me = "winch-0"
     incarnation = "1"
-    current_at = 0.0
+    fresh_as_of = 0.0
     view = r.View(3, {"winch-0": "1"})
 
     def __init__(self) -> None:
@@ -43,10 +43,10 @@
     def owns(self, machine: str, zone: str) -> bool:
         return True
 
-    def relayed_cancels(self) -> set[str]:
+    def relayed_cancellations(self) -> set[str]:
         return set()
 
-    def vouched_at(self) -> float:
+    def cancellations_known_at(self) -> float:
         return -1e9
 
     def put(self, key: str, value: object) -> None:
@@ -56,7 +56,9 @@
 
 
 def make_workers(node: Any) -> Workers:
-    times = WorkerTimes(report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34)
+    times = WorkerTimings(
+        report_s=3.0, lease_s=14.0, gang_wait_s=50.0, gang_peer_s=8.0, cancel_s=34
+    )
     return Workers(node, node, times, node, Metrics(), {}, PartitionPolicy())
 
 
@@ -154,14 +156,14 @@
 
 def test_checkins_are_refused_once_the_state_copy_is_too_old() -> None:
     node = FakeNode()
-    node.current_at = 1.0 - 20.0  # copy older than cancel_s - lease_s - margin: 34 - 14 - 3 s
+    node.fresh_as_of = 1.0 - 20.0  # copy older than cancel_s - lease_s - margin: 34 - 14 - 3 s
     workers = make_workers(node)
 
     async def run() -> int:
         return (await workers.checkin(checkin_request("vm-1", 1))).status
 
     assert asyncio.run(run()) == 503
-    node.current_at = -15.0
+    node.fresh_as_of = -15.0
     assert asyncio.run(run()) == 200
 
 
