--- a/pulleydeal/constants.py
+++ b/pulleydeal/constants.py
@@ -96,7 +96,10 @@
 # Time, besides save_s, from the latest stop of a task to the reclaim of its spot machine. Tasks
 # without checkpoints, which need not save, get half of it.
 STOP_SLACK_S = 4.0
-REPORT_REORDER_S = 1.0  # an older check-in later than this was not just overtaken by an answer
+# Up to this long after the last report that was applied, a check-in that only has an old number is
+# normal: an order's answer may have overtaken it. Later, the machine is probed: it may have
+# restarted.
+REPORT_REORDER_S = 1.0
 SICK_ERRORS = 3  # failed tasks, of SICK_JOBS or more jobs, that mark a machine as sick
 SICK_JOBS = 2  # a faulty job fails everywhere; failures of two jobs point to the machine
 SICK_WINDOW_S = 90.0  # failures further apart than this are not counted together
--- a/pulleydeal/membership/view.py
+++ b/pulleydeal/membership/view.py
@@ -74,7 +74,9 @@
 
     `silence_s`: seconds since each sibling was last heard; `steady_s`: seconds since its last long
     silence ended; `hears_me`: siblings that report hearing this node. A single lost heartbeat
-    changes nothing, and a link that flaps or works in one direction only stays cut.
+    changes nothing, and a link that flaps or works in one direction only stays cut. Siblings of one
+    zone share the pair (me, zone): the last of them in `view.members` that is silent or fit to heal
+    decides whether it is cut.
     """
     cut = set(view.cut)
     for sibling in view.members:
--- a/pulleydeal/placement/owner_selection.py
+++ b/pulleydeal/placement/owner_selection.py
@@ -77,7 +77,10 @@
         room = sum(t.gpus + t.cpus / 100 for t in suitable)
         if spec.priority < c.ROOM_BELOW:
             return bool(with_room), preferred_kind, image_ready, room
-        # The owner preempts where the image is: as good as free room on a machine without it.
+        # Preemption where the image is counts as room, like free room does. Owners are then ranked:
+        # first those with free room and the image on a machine, next those that can make room on a
+        # machine with the image, last those with free room only on machines without it.
+        # `stoppable` includes free capacity, so it normally fits wherever `images` does.
         room_possible = any(_has_image_and_room(spec, t.stoppable) for t in suitable)
         return (
             room_possible or bool(with_room),
@@ -120,7 +123,8 @@
         )
         if scores[best][0]:
             return best
-        # No owner has room: wait at one owner at a time, among those with machines to preempt on.
+        # No owner has room: wait at one at a time, in turns. Owners are filtered by the zone and
+        # spot of their totals only, so one with machines only of excluded types gets turns, too.
         candidates = [
             owner
             for owner in sorted(self._totals_by_owner)
--- a/pulleydeal/workers/partition_policy.py
+++ b/pulleydeal/workers/partition_policy.py
@@ -9,7 +9,11 @@
 from pulleydeal.workers.reachability import SilenceCounts
 from pulleydeal.workers.tracked_machine import TrackedMachine
 
-# Reasons for returning machines of unreachable zones, with all that is on them.
+# Reasons for returning machines of unreachable zones, with all that is on them. The zones feature
+# decides when they apply (zones/losses.py). Dark: the zone is out of sight, and when that began no
+# node in it could be renewing leases; machines with tasks are returned once their leases are over,
+# the others after EVACUATE_AFTER_BOOTS boot times. Evacuated: there may be such a node, and the
+# zone has been out of sight for longer than that; its machines are returned in small batches.
 KEPT_CANCELLED_JOB = "kept a cancelled job"
 ZONE_DARK = "its zone is dark"
 ZONE_EVACUATED = "its zone is cut off for long"
--- a/pulleydeal/zones/deafness.py
+++ b/pulleydeal/zones/deafness.py
@@ -16,6 +16,10 @@
 
     The view holds which zones are handed over, so every node derives the same owners from it.
     Only the number of handovers is kept here, and starts at zero with each start of the node.
+
+    `all_enabled`: whether, by this node's copy of the state, every configured node, also one that
+    is down, has announced the zones feature, and the software of all supports features (see
+    `all_enable` in membership/service.py). Otherwise a round does nothing.
     """
 
     def __init__(
